--- a/cmd/cinderctl/compatibility_test.go
+++ b/cmd/cinderctl/compatibility_test.go
@@ -12,7 +12,9 @@
 	c := &fakeControl{status: newStatus("core-1", true)}
 	address := c.serve(t)
 	seed := "--seed=" + address
-	document, bad, change := writeFile(t, "c.json", validDocument), writeFile(t, "bad.json", unknownService), writeFile(t, "d.json", validChange)
+	document := writeFile(t, "c.json", validDocument)
+	bad := writeFile(t, "bad.json", unknownService)
+	change := writeFile(t, "d.json", validChange)
 	for name, arguments := range map[string][]string{
 		"check": {"check", document, bad},
 		"on":    {"check", "--on", document, "--kind", "change", change},
@@ -44,8 +46,19 @@
 // TestHelpUnchanged compares the help texts, which name all commands, arguments and flags, with the recorded ones.
 func TestHelpUnchanged(t *testing.T) {
 	t.Setenv("COLUMNS", "80") // the help is as wide as a terminal
-	for _, command := range []string{"", "check", "status", "config", "config read", "config replace", "config change", "drain", "drain begin",
-		"drain finish", "version"} {
+	for _, command := range []string{
+		"",
+		"check",
+		"status",
+		"config",
+		"config read",
+		"config replace",
+		"config change",
+		"drain",
+		"drain begin",
+		"drain finish",
+		"version",
+	} {
 		got := call(append(strings.Fields(command), "--help")...)
 		compatibility.Elsewhere.Check(t, "help-"+strings.ReplaceAll(command, " ", "-")+".txt", []byte(got.output))
 	}
--- a/cmd/cinderctl/config.go
+++ b/cmd/cinderctl/config.go
@@ -94,7 +94,8 @@
 	if s.flags.JSON {
 		return s.printJSON(acknowledgement)
 	}
-	return s.printLine("version %d is acknowledged by %s (attempt %d)", acknowledgement.Version, acknowledgement.Machine, acknowledgement.Attempts)
+	return s.printLine("version %d is acknowledged by %s (attempt %d)",
+		acknowledgement.Version, acknowledgement.Machine, acknowledgement.Attempts)
 }
 
 // baseVersion returns the version that the file builds on: the flag's, or the one in force.
--- a/cmd/cinderctl/statustables.go
+++ b/cmd/cinderctl/statustables.go
@@ -47,9 +47,19 @@
 			if partition.LeaseMS > 0 {
 				lease = milliseconds(partition.LeaseMS)
 			}
-			t.add(strconv.Itoa(int(partition.Partition)), machine.Node, partition.Role, formatUint(partition.Term),
-				leaderName(partition), lease, formatUint(partition.CommitIndex), formatUint(partition.AppliedIndex), formatUint(partition.LastIndex),
-				strconv.Itoa(partition.ItemCount), milliseconds(partition.StalenessMS))
+			t.add(
+				strconv.Itoa(int(partition.Partition)),
+				machine.Node,
+				partition.Role,
+				formatUint(partition.Term),
+				leaderName(partition),
+				lease,
+				formatUint(partition.CommitIndex),
+				formatUint(partition.AppliedIndex),
+				formatUint(partition.LastIndex),
+				strconv.Itoa(partition.ItemCount),
+				milliseconds(partition.StalenessMS),
+			)
 		}
 	}
 	slices.SortStableFunc(t.rows[1:], func(a, b []string) int { return cmp.Compare(a[0], b[0]) })
--- a/internal/system/configuration/change_test.go
+++ b/internal/system/configuration/change_test.go
@@ -59,17 +59,23 @@
 
 func TestApplyAndValidateRejectsInvalidChanges(t *testing.T) {
 	base := mustParse(t, sampleDocument, 0)
+	replacing := func(routes ...string) string {
+		return `{"version":9,"replace":{"routes":[` + strings.Join(routes, ",") + `]}}`
+	}
 	for name, invalid := range map[string]struct{ body, path string }{
-		"nothing":                {"", ""},
-		"cut short":              {`{"version":9`, ""},
-		"no version":             {`{"replace":{}}`, ""},
-		"old version":            {`{"version":7}`, "version"},
-		"service in use":         {`{"version":9,"remove":{"services":["plain"]}}`, "routes[0].shares[1]"},
-		"unknown service":        {`{"version":9,"replace":{"routes":[` + strings.Replace(sampleRoute, "plain", "none", 1) + `]}}`, "routes[2].service"},
-		"taken prefix":           {`{"version":9,"replace":{"routes":[` + strings.Replace(sampleRoute, "three", "one", 1) + `]}}`, "routes[2].path_start"},
-		"timeout of 0":           {`{"version":9,"replace":{"routes":[` + strings.Replace(sampleRoute, ":1,", ":0,", 1) + `]}}`, "routes[2].timeout_ms"},
-		"replaced twice":         {`{"version":9,"replace":{"routes":[` + sampleRoute + `,` + sampleRoute + `]}}`, "replace.routes[1].name"},
-		"replaced and removed":   {`{"version":9,"replace":{"routes":[` + sampleRoute + `]},"remove":{"routes":["r-3"]}}`, "remove.routes[0]"},
+		"nothing":         {"", ""},
+		"cut short":       {`{"version":9`, ""},
+		"no version":      {`{"replace":{}}`, ""},
+		"old version":     {`{"version":7}`, "version"},
+		"service in use":  {`{"version":9,"remove":{"services":["plain"]}}`, "routes[0].shares[1]"},
+		"unknown service": {replacing(strings.Replace(sampleRoute, "plain", "none", 1)), "routes[2].service"},
+		"taken prefix":    {replacing(strings.Replace(sampleRoute, "three", "one", 1)), "routes[2].path_start"},
+		"timeout of 0":    {replacing(strings.Replace(sampleRoute, ":1,", ":0,", 1)), "routes[2].timeout_ms"},
+		"replaced twice":  {replacing(sampleRoute, sampleRoute), "replace.routes[1].name"},
+		"replaced and removed": {
+			`{"version":9,"replace":{"routes":[` + sampleRoute + `]},"remove":{"routes":["r-3"]}}`,
+			"remove.routes[0]",
+		},
 		"no name":                {`{"version":9,"replace":{"services":[{}]}}`, "services[2].name"},
 		"removal of no names":    {`{"version":9,"remove":{"routes":[1]}}`, "remove.routes[0]"},
 		"removal of no list":     {`{"version":9,"remove":{"routes":"r-1"}}`, "remove.routes"},
@@ -123,7 +129,8 @@
 		if err != nil || !bytes.Equal(read.Encode(), changed.Encode()) {
 			t.Fatalf("%s came back as %v: %v", changed.Encode(), read, err)
 		}
-		if reparsed, err := ParseAndValidate(changed.Encode(), base.Version()); err != nil || !bytes.Equal(reparsed.Encode(), changed.Encode()) {
+		reparsed, err := ParseAndValidate(changed.Encode(), base.Version())
+		if err != nil || !bytes.Equal(reparsed.Encode(), changed.Encode()) {
 			t.Fatalf("%s is not a document: %v", changed.Encode(), err)
 		}
 	})
--- a/internal/system/configuration/parse_test.go
+++ b/internal/system/configuration/parse_test.go
@@ -103,64 +103,13 @@
 	}
 }
 
-// The function is long since it is one table.
-func TestParseAndValidateRejectsInvalidDocuments(t *testing.T) {
-	swap := func(old, replacement string) string {
-		changed := strings.Replace(sampleDocument, old, replacement, 1)
-		if changed == sampleDocument {
-			t.Fatalf("%q does not stand in the sample", old)
-		}
-		return changed
-	}
-	for name, invalid := range map[string]struct{ body, path string }{
-		"nothing":            {"", ""},
-		"cut short":          {sampleDocument[:len(sampleDocument)-1], ""},
-		"bytes after it":     {sampleDocument + "{}", ""},
-		"no object":          {"[]", ""},
-		"not UTF-8":          {swap("blue", "bl\xffue"), ""},
-		"no version":         {swap(`"version":7,`, ""), ""},
-		"no routes":          {`{"version":7,"services":[]}`, ""},
-		"no services":        {`{"version":7,"routes":[]}`, ""},
-		"old version":        {swap(`"version":7`, `"version":6`), "version"},
-		"version of text":    {swap(`"version":7`, `"version":"7"`), "version"},
-		"broken version":     {swap(`"version":7`, `"version":7.5`), "version"},
-		"negative version":   {swap(`"version":7`, `"version":-7`), "version"},
-		"two versions":       {swap(`"version":7`, `"version":7,"version":8`), "version"},
-		"two extras":         {swap(`"colour"`, `"colour":"red","colour"`), "colour"},
-		"two values":         {swap(`"timeout_ms":5000`, `"timeout_ms":5000,"timeout_ms":1`), "routes[0].timeout_ms"},
-		"routes of null":     {`{"version":7,"routes":null,"services":[]}`, "routes"},
-		"a route of null":    {`{"version":7,"routes":[null],"services":[]}`, "routes[0]"},
-		"unknown service":    {swap(`"service":"plain","tries"`, `"service":"none","tries"`), "routes[1].service"},
-		"unknown share":      {swap(`{"service":"engine"`, `{"service":"none"`), "routes[0].shares[0]"},
-		"no service":         {swap(`"service":"plain","tries"`, `"tries"`), "routes[1].service"},
-		"service and shares": {swap(`"shares":`, `"service":"plain","shares":`), "routes[0]"},
-		"empty shares":       {swap(`"service":"plain","tries"`, `"shares":[],"tries"`), "routes[1].service"},
-		"same prefix":        {swap(`"/two/"`, `"/one/"`), "routes[1].path_start"},
-		"same prefix, case":  {swap(`"host":"a.example","path_start":"/two/"`, `"host":"A.Example","path_start":"/one/"`), "routes[1].path_start"},
-		"weights of 0":       {swap(`"weight":90},{"service":"plain","weight":10.0`, `"weight":0},{"service":"plain","weight":0.0`), "routes[0].shares"},
-		"no weights":         {swap(`"weight":90},{"service":"plain","weight":10.0`, `"w":0},{"service":"plain","w":0`), "routes[0].shares"},
-		"negative weight":    {swap(`"weight":10.0`, `"weight":-1`), "routes[0].shares[1]"},
-		"endless weight":     {swap(`"weight":10.0`, `"weight":1e999`), "routes[0].shares[1].weight"},
-		"huge weight":        {swap(`"weight":10.0`, `"weight":1e305`), "routes[0].shares"},
-		"timeout of 0":       {swap(`"timeout_ms":5000`, `"timeout_ms":0`), "routes[0].timeout_ms"},
-		"timeout of 0.0":     {swap(`"timeout_ms":5000`, `"timeout_ms":0.0`), "routes[0].timeout_ms"},
-		"negative timeout":   {swap(`"timeout_ms":5000`, `"timeout_ms":-5`), "routes[0].timeout_ms"},
-		"no timeout":         {swap(`"timeout_ms":5000,`, ""), "routes[0].timeout_ms"},
-		"timeout of text":    {swap(`"timeout_ms":5000`, `"timeout_ms":"5000"`), "routes[0].timeout_ms"},
-		"timeout too long":   {swap(`"timeout_ms":5000`, `"timeout_ms":1e300`), "routes[0].timeout_ms"},
-		"empty route name":   {swap(`"name":"r-1"`, `"name":""`), "routes[0].name"},
-		"no route name":      {swap(`"name":"r-1",`, ""), "routes[0].name"},
-		"two routes' name":   {swap(`"name":"r-2"`, `"name":"r-1"`), "routes[1].name"},
-		"empty service name": {swap(`"name":"engine"`, `"name":""`), "services[0].name"},
-		"two services' name": {swap(`"name":"engine"`, `"name":"plain"`), "services[1].name"},
-		"empty host":         {swap(`"host":"a.example"`, `"host":""`), "routes[0].host"},
-		"path without end":   {swap(`"/one/"`, `"/one"`), "routes[0].path_start"},
-		"path without start": {swap(`"/one/"`, `"one/"`), "routes[0].path_start"},
-		"unknown type":       {swap(`"streaming"`, `"floating"`), "routes[0].type"},
-		"no type":            {swap(`"type":"streaming",`, ""), "routes[0]"},
-		"limits of text":     {swap(`"max_body_bytes":4194304`, `"max_body_bytes":"x"`), "limits.max_body_bytes"},
-		"negative limit":     {swap(`"header_wait_ms":3000`, `"header_wait_ms":-1`), "limits.header_wait_ms"},
-	} {
+// invalidDocument is a document that is rejected with a problem at a path.
+type invalidDocument struct{ body, path string }
+
+// checkRejected checks that each document is rejected, on version 6, with a problem at its path.
+func checkRejected(t *testing.T, documents map[string]invalidDocument) {
+	t.Helper()
+	for name, invalid := range documents {
 		_, err := ParseAndValidate([]byte(invalid.body), 6)
 		var found *validation.Error
 		if !errors.As(err, &found) {
@@ -177,6 +126,131 @@
 	}
 }
 
+// swap returns the sample document with the first occurrence of a text replaced.
+func swap(t *testing.T, old, replacement string) string {
+	t.Helper()
+	changed := strings.Replace(sampleDocument, old, replacement, 1)
+	if changed == sampleDocument {
+		t.Fatalf("%q does not stand in the sample", old)
+	}
+	return changed
+}
+
+func TestParseAndValidateRejectsInvalidDocuments(t *testing.T) {
+	t.Run("malformed", func(t *testing.T) { checkRejected(t, malformedDocuments(t)) })
+	t.Run("top-level fields", func(t *testing.T) { checkRejected(t, invalidTopLevelFields(t)) })
+	t.Run("names", func(t *testing.T) { checkRejected(t, invalidNames(t)) })
+	t.Run("hosts and paths", func(t *testing.T) { checkRejected(t, invalidRouteMatches(t)) })
+	t.Run("types", func(t *testing.T) { checkRejected(t, invalidRouteTypes(t)) })
+	t.Run("shares", func(t *testing.T) { checkRejected(t, invalidShares(t)) })
+	t.Run("timeouts", func(t *testing.T) { checkRejected(t, invalidTimeouts(t)) })
+	t.Run("limits", func(t *testing.T) { checkRejected(t, invalidLimits(t)) })
+}
+
+func malformedDocuments(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"nothing":        {"", ""},
+		"cut short":      {sampleDocument[:len(sampleDocument)-1], ""},
+		"bytes after it": {sampleDocument + "{}", ""},
+		"no object":      {"[]", ""},
+		"not UTF-8":      {swap(t, "blue", "bl\xffue"), ""},
+	}
+}
+
+func invalidTopLevelFields(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"no version":       {swap(t, `"version":7,`, ""), ""},
+		"no routes":        {`{"version":7,"services":[]}`, ""},
+		"no services":      {`{"version":7,"routes":[]}`, ""},
+		"old version":      {swap(t, `"version":7`, `"version":6`), "version"},
+		"version of text":  {swap(t, `"version":7`, `"version":"7"`), "version"},
+		"broken version":   {swap(t, `"version":7`, `"version":7.5`), "version"},
+		"negative version": {swap(t, `"version":7`, `"version":-7`), "version"},
+		"two versions":     {swap(t, `"version":7`, `"version":7,"version":8`), "version"},
+		"two extras":       {swap(t, `"colour"`, `"colour":"red","colour"`), "colour"},
+		"two values":       {swap(t, `"timeout_ms":5000`, `"timeout_ms":5000,"timeout_ms":1`), "routes[0].timeout_ms"},
+		"routes of null":   {`{"version":7,"routes":null,"services":[]}`, "routes"},
+		"a route of null":  {`{"version":7,"routes":[null],"services":[]}`, "routes[0]"},
+	}
+}
+
+func invalidNames(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"empty route name":   {swap(t, `"name":"r-1"`, `"name":""`), "routes[0].name"},
+		"no route name":      {swap(t, `"name":"r-1",`, ""), "routes[0].name"},
+		"two routes' name":   {swap(t, `"name":"r-2"`, `"name":"r-1"`), "routes[1].name"},
+		"empty service name": {swap(t, `"name":"engine"`, `"name":""`), "services[0].name"},
+		"two services' name": {swap(t, `"name":"engine"`, `"name":"plain"`), "services[1].name"},
+	}
+}
+
+func invalidRouteMatches(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"same prefix": {swap(t, `"/two/"`, `"/one/"`), "routes[1].path_start"},
+		"same prefix, case": {
+			swap(t, `"host":"a.example","path_start":"/two/"`, `"host":"A.Example","path_start":"/one/"`),
+			"routes[1].path_start",
+		},
+		"empty host":         {swap(t, `"host":"a.example"`, `"host":""`), "routes[0].host"},
+		"path without end":   {swap(t, `"/one/"`, `"/one"`), "routes[0].path_start"},
+		"path without start": {swap(t, `"/one/"`, `"one/"`), "routes[0].path_start"},
+	}
+}
+
+func invalidRouteTypes(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"unknown type": {swap(t, `"streaming"`, `"floating"`), "routes[0].type"},
+		"no type":      {swap(t, `"type":"streaming",`, ""), "routes[0]"},
+	}
+}
+
+func invalidShares(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"unknown service":    {swap(t, `"service":"plain","tries"`, `"service":"none","tries"`), "routes[1].service"},
+		"unknown share":      {swap(t, `{"service":"engine"`, `{"service":"none"`), "routes[0].shares[0]"},
+		"no service":         {swap(t, `"service":"plain","tries"`, `"tries"`), "routes[1].service"},
+		"service and shares": {swap(t, `"shares":`, `"service":"plain","shares":`), "routes[0]"},
+		"empty shares":       {swap(t, `"service":"plain","tries"`, `"shares":[],"tries"`), "routes[1].service"},
+		"weights of 0": {
+			swap(t, `"weight":90},{"service":"plain","weight":10.0`, `"weight":0},{"service":"plain","weight":0.0`),
+			"routes[0].shares",
+		},
+		"no weights": {
+			swap(t, `"weight":90},{"service":"plain","weight":10.0`, `"w":0},{"service":"plain","w":0`),
+			"routes[0].shares",
+		},
+		"negative weight": {swap(t, `"weight":10.0`, `"weight":-1`), "routes[0].shares[1]"},
+		"endless weight":  {swap(t, `"weight":10.0`, `"weight":1e999`), "routes[0].shares[1].weight"},
+		"huge weight":     {swap(t, `"weight":10.0`, `"weight":1e305`), "routes[0].shares"},
+	}
+}
+
+func invalidTimeouts(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"timeout of 0":     {swap(t, `"timeout_ms":5000`, `"timeout_ms":0`), "routes[0].timeout_ms"},
+		"timeout of 0.0":   {swap(t, `"timeout_ms":5000`, `"timeout_ms":0.0`), "routes[0].timeout_ms"},
+		"negative timeout": {swap(t, `"timeout_ms":5000`, `"timeout_ms":-5`), "routes[0].timeout_ms"},
+		"no timeout":       {swap(t, `"timeout_ms":5000,`, ""), "routes[0].timeout_ms"},
+		"timeout of text":  {swap(t, `"timeout_ms":5000`, `"timeout_ms":"5000"`), "routes[0].timeout_ms"},
+		"timeout too long": {swap(t, `"timeout_ms":5000`, `"timeout_ms":1e300`), "routes[0].timeout_ms"},
+	}
+}
+
+func invalidLimits(t *testing.T) map[string]invalidDocument {
+	t.Helper()
+	return map[string]invalidDocument{
+		"limits of text": {swap(t, `"max_body_bytes":4194304`, `"max_body_bytes":"x"`), "limits.max_body_bytes"},
+		"negative limit": {swap(t, `"header_wait_ms":3000`, `"header_wait_ms":-1`), "limits.header_wait_ms"},
+	}
+}
+
 func TestParseAndValidateReportsAllProblems(t *testing.T) {
 	body := strings.NewReplacer(
 		`"timeout_ms":5000`, `"timeout_ms":0`, `"/two/"`, `"two"`, `"max_conns":100`, `"max_conns":"x"`,
--- a/internal/system/consensus/arbitrary_input_test.go
+++ b/internal/system/consensus/arbitrary_input_test.go
@@ -26,8 +26,15 @@
 func (test *robustnessTest) restart(t *rapid.T) {
 	state := test.disk.stored
 	state.Entries = slices.Clone(state.Entries)
-	test.node = New(test.now, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: rapid.Uint64().Draw(t, "seed"),
-		MaxAppendBytes: 8, MaxInflightAppends: 2, SnapshotThreshold: 4}, state)
+	test.node = New(test.now, Config{
+		ID:                 1,
+		HeartbeatInterval:  testHeartbeat,
+		ElectionTimeout:    testElection,
+		Seed:               rapid.Uint64().Draw(t, "seed"),
+		MaxAppendBytes:     8,
+		MaxInflightAppends: 2,
+		SnapshotThreshold:  4,
+	}, state)
 	if test.node.disabled {
 		t.Fatalf("the persistent state is invalid: %v", state.Validate())
 	}
--- a/internal/system/consensus/cluster_test.go
+++ b/internal/system/consensus/cluster_test.go
@@ -47,8 +47,8 @@
 	if verbose {
 		for _, p := range sim.processes() {
 			node := p.node
-			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d", p.id, node.Status(), node.NextTick(), p.clock(), len(p.pendingReadies),
-				p.frozen, node.log.offset)
+			t.Logf("%d: %+v due %v now %v queue %d frozen %v offset %d",
+				p.id, node.Status(), node.NextTick(), p.clock(), len(p.pendingReadies), p.frozen, node.log.offset)
 		}
 		t.Logf("%d steps, %d committed, %d terms, %d reads, %+v", sim.steps, len(sim.observed.committed), len(sim.observed.leadersByTerm),
 			sim.observed.completedReads, sim.profile)
--- a/internal/system/consensus/election_test.go
+++ b/internal/system/consensus/election_test.go
@@ -40,11 +40,15 @@
 
 func TestOneVotePerTerm(t *testing.T) {
 	script := newScriptedNode(t, foundingState(1, 2, 3))
-	script.expect("first candidate", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
-	script.expect("another candidate", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
-	script.expect("the same candidate again", script.onlyMessage(MessageVoteReply, 2, script.step(Message{Kind: MessageVote, From: 2, Term: 1})).Reject, false)
+	requestVote := func(candidate ReplicaID) Message {
+		replies := script.step(Message{Kind: MessageVote, From: candidate, Term: 1})
+		return script.onlyMessage(MessageVoteReply, candidate, replies)
+	}
+	script.expect("first candidate", requestVote(2).Reject, false)
+	script.expect("another candidate", requestVote(3).Reject, true)
+	script.expect("the same candidate again", requestVote(2).Reject, false)
 	script = newScriptedNode(t, PersistentState{HardState: script.hardState, Snapshot: foundingState(1, 2, 3).Snapshot})
-	script.expect("another candidate after a restart", script.onlyMessage(MessageVoteReply, 3, script.step(Message{Kind: MessageVote, From: 3, Term: 1})).Reject, true)
+	script.expect("another candidate after a restart", requestVote(3).Reject, true)
 }
 
 func TestElection(t *testing.T) {
--- a/internal/system/consensus/membership_change_test.go
+++ b/internal/system/consensus/membership_change_test.go
@@ -157,7 +157,8 @@
 	script.expect("due as a learner", script.node.NextTick(), Never)
 	script.now += 2 * testElection
 	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
-	script.expect("vote of a learner for a candidate that considers it a voter", script.onlyMessage(MessageVoteReply, 3, script.step(vote)).Reject, false)
+	reply := script.onlyMessage(MessageVoteReply, 3, script.step(vote))
+	script.expect("vote of a learner for a candidate that considers it a voter", reply.Reject, false)
 	script.step(Message{Kind: MessageAppend, From: 3, Term: 2, Index: 2, LogTerm: 1, Round: 1,
 		Entries: []Entry{membershipEntry(3, 2, voters(1, 2))}})
 	script.expect("due as a voter", script.node.NextTick() < Never, true)
--- a/internal/system/consensus/replication_test.go
+++ b/internal/system/consensus/replication_test.go
@@ -32,8 +32,16 @@
 			stored.HardState = HardState{Term: 4, Commit: test.commit}
 			stored.Entries = entries(1, test.log...)
 			script := newScriptedNode(t, stored)
-			got := script.step(Message{Kind: MessageAppend, From: 2, Term: 4, Index: test.index, LogTerm: test.logTerm, Entries: test.entries,
-				Commit: test.leaderCommit, Round: 77})
+			got := script.step(Message{
+				Kind:    MessageAppend,
+				From:    2,
+				Term:    4,
+				Index:   test.index,
+				LogTerm: test.logTerm,
+				Entries: test.entries,
+				Commit:  test.leaderCommit,
+				Round:   77,
+			})
 			reply := script.onlyMessage(MessageAppendReply, 2, got)
 			script.expect("rejected", reply.Reject, test.reject)
 			script.expect("round", reply.Round, 77)
--- a/internal/system/consensus/simulation_check_test.go
+++ b/internal/system/consensus/simulation_check_test.go
@@ -38,8 +38,13 @@
 }
 
 func newObservations() observations {
-	return observations{leadersByTerm: map[uint64]*simulatedProcess{}, entriesByID: map[entryID]entryContent{}, statesByIndex: map[uint64]uint64{},
-		syncedLogs: map[ReplicaID]*syncedLog{}, pendingReads: map[uint64]int{}}
+	return observations{
+		leadersByTerm: map[uint64]*simulatedProcess{},
+		entriesByID:   map[entryID]entryContent{},
+		statesByIndex: map[uint64]uint64{},
+		syncedLogs:    map[ReplicaID]*syncedLog{},
+		pendingReads:  map[uint64]int{},
+	}
 }
 
 func (o *observations) recordSync(id ReplicaID, ready Ready) {
--- a/internal/system/consensus/simulation_process_test.go
+++ b/internal/system/consensus/simulation_process_test.go
@@ -68,8 +68,15 @@
 	started := &simulatedProcess{sim: sim, host: host, id: host.id, alive: true}
 	host.process = started
 	started.hasMembership = len(state.Snapshot.Membership.Members) > 0 || len(state.Entries) > 0
-	config := Config{ID: host.id, HeartbeatInterval: 150 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond,
-		Seed: sim.random.Uint64(), MaxAppendBytes: sim.profile.MaxAppendBytes, MaxInflightAppends: sim.profile.MaxInflightAppends, SnapshotThreshold: 30}
+	config := Config{
+		ID:                 host.id,
+		HeartbeatInterval:  150 * time.Millisecond,
+		ElectionTimeout:    700 * time.Millisecond,
+		Seed:               sim.random.Uint64(),
+		MaxAppendBytes:     sim.profile.MaxAppendBytes,
+		MaxInflightAppends: sim.profile.MaxInflightAppends,
+		SnapshotThreshold:  30,
+	}
 	started.applied = state.Snapshot.Index
 	started.state = decodeState(state.Snapshot.Data)
 	started.node = New(started.clock(), config, state)
--- a/internal/system/consensus/simulation_test.go
+++ b/internal/system/consensus/simulation_test.go
@@ -276,6 +276,7 @@
 }
 
 func describeMessage(message Message) string {
-	return fmt.Sprintf("%d kind %d term %d index %d/%d commit %d entries %d reject %v hint %d round %d", message.From, message.Kind,
-		message.Term, message.Index, message.LogTerm, message.Commit, len(message.Entries), message.Reject, message.RejectHint, message.Round)
+	return fmt.Sprintf("%d kind %d term %d index %d/%d commit %d entries %d reject %v hint %d round %d",
+		message.From, message.Kind, message.Term, message.Index, message.LogTerm, message.Commit,
+		len(message.Entries), message.Reject, message.RejectHint, message.Round)
 }
--- a/internal/system/consensus/snapshot_test.go
+++ b/internal/system/consensus/snapshot_test.go
@@ -72,7 +72,8 @@
 	// The appends to it were lost; it replies to the next heartbeat, at an index where all logs agree.
 	beat := script.onlyMessage(MessageAppend, 3, script.tickWhenDue())
 	script.expect("heartbeat", beat.Index, 0)
-	script.onlyMessage(MessageInstallSnapshot, 3, script.step(Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 1, Round: beat.Round}))
+	heartbeatReply := Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 1, Round: beat.Round}
+	script.onlyMessage(MessageInstallSnapshot, 3, script.step(heartbeatReply))
 }
 
 // TestCreateSnapshotNeedsKnownMembership sends the log from its start to a replica that joined later.
--- a/internal/system/control/api/availability_test.go
+++ b/internal/system/control/api/availability_test.go
@@ -72,7 +72,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			fake := newFakeReplica()
 			a := fake.newAPI()
-			if response := call(a, http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))); response.Code != http.StatusOK {
+			response := call(a, http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
+			if response.Code != http.StatusOK {
 				t.Fatal(response.Code, response.Body)
 			}
 			fake.isolated, fake.noQuorum, fake.hang = true, true, hang
--- a/internal/system/control/api/compatibility_test.go
+++ b/internal/system/control/api/compatibility_test.go
@@ -19,6 +19,7 @@
 	c := newFakeReplica()
 	a := c.newAPI()
 	broken := strings.Replace(documentJSON(4, routeJSON("x", "gone")), `"rank":1`, `"rank":-1`, 1)
+	change := `{"version":9,"replace":{"routes":[` + routeJSON("y", "s") + `]},"remove":{"routes":["x"]}}`
 	var transcript bytes.Buffer
 	for _, step := range []struct{ method, path, basedOn, body string }{
 		{http.MethodGet, "/-/Settings.Read", "", ""},
@@ -26,7 +27,7 @@
 		{http.MethodPost, "/-/Settings.Replace", "0", documentJSON(3, routeJSON("x", "s"))},
 		{http.MethodPost, "/-/Settings.Replace", "3", broken},
 		{http.MethodPost, "/-/Settings.Replace", "1", documentJSON(4, routeJSON("x", "s"))},
-		{http.MethodPost, "/-/Settings.Change", "3", `{"version":9,"replace":{"routes":[` + routeJSON("y", "s") + `]},"remove":{"routes":["x"]}}`},
+		{http.MethodPost, "/-/Settings.Change", "3", change},
 		{http.MethodGet, "/-/Settings.Read", "", ""},
 		{http.MethodPost, "/-/DrainZone.Begin/a", "", ""},
 		{http.MethodPost, "/-/DrainZone.Finish/a", "", ""},
@@ -42,7 +43,8 @@
 	}
 	c.noQuorum, c.isolated = true, true
 	response := call(a, http.MethodGet, "/-/Settings.Read", "", "")
-	fmt.Fprintf(&transcript, "without a majority\n%d\nRetry-After: %s\n%s\n", response.Code, response.Header().Get("Retry-After"), response.Body)
+	fmt.Fprintf(&transcript, "without a majority\n%d\nRetry-After: %s\n%s\n",
+		response.Code, response.Header().Get("Retry-After"), response.Body)
 	compatibility.Elsewhere.Check(t, "answers.txt", transcript.Bytes())
 }
 
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -355,7 +355,8 @@
 		return
 	}
 	for range 1 + sim.random.IntN(5)/4 {
-		c.deliveries = append(c.deliveries, sim.sendEvacuation(c.id(), request, func(response modelResponse) { c.handleResponse(request, response) }))
+		delivery := sim.sendEvacuation(c.id(), request, func(response modelResponse) { c.handleResponse(request, response) })
+		c.deliveries = append(c.deliveries, delivery)
 	}
 	sim.after(sim.durationBetween(callTimeout/4, callTimeout), func() { c.send(request) })
 }
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -49,7 +49,8 @@
 	if s.noticeNeedsWrite(listed, now) {
 		return true
 	}
-	return listed.SlowStartRemaining == 0 && s.runner.SlowStartRemaining > 0 && now-s.changedAt > s.runner.SlowStartRemaining+slowStartSettleDelay
+	slowStartIsOver := now-s.changedAt > s.runner.SlowStartRemaining+slowStartSettleDelay
+	return listed.SlowStartRemaining == 0 && s.runner.SlowStartRemaining > 0 && slowStartIsOver
 }
 
 // noticeNeedsWrite reports whether the time to termination is to be written.
--- a/internal/system/control/state/evacuation_test.go
+++ b/internal/system/control/state/evacuation_test.go
@@ -47,7 +47,9 @@
 		t.Fatal(err)
 	}
 	for _, zone := range []string{"a", "b", "c"} {
-		if before, after := configuration.Evacuation(zone), restored.Evacuation(zone); after.Revision != 8 || after.LastOrder < before.LastOrder {
+		before := configuration.Evacuation(zone)
+		after := restored.Evacuation(zone)
+		if after.Revision != 8 || after.LastOrder < before.LastOrder {
 			t.Errorf("zone %s after a snapshot: %+v, before %+v", zone, after, before)
 		}
 	}
--- a/internal/system/control/state/history_test.go
+++ b/internal/system/control/state/history_test.go
@@ -75,7 +75,10 @@
 		{"the second", 3, 2, RequestStatus{Verdict: VerdictAccepted, Version: 7}},
 		{"the first's text on the second's base", 3, 1, RequestStatus{Verdict: VerdictSuperseded, Version: 7}},
 		{"on what is in force", 7, 3, RequestStatus{Verdict: VerdictOpen, Version: 7, Base: configuration.View()}},
-		{"a text that was accepted, on what is in force", 7, 2, RequestStatus{Verdict: VerdictOpen, Version: 7, Base: configuration.View()}},
+		{
+			"a text that was accepted, on what is in force", 7, 2,
+			RequestStatus{Verdict: VerdictOpen, Version: 7, Base: configuration.View()},
+		},
 		{"on what is not in force yet", 8, 3, RequestStatus{Verdict: VerdictPremature, Version: 7}},
 	}
 	for _, test := range tests {
--- a/internal/system/control/testcluster_test.go
+++ b/internal/system/control/testcluster_test.go
@@ -74,13 +74,23 @@
 	names := []string{"a", "b", "c"}
 	for i := range machines {
 		ip := address(i)
+		zone := names[i%3]
 		settings := &processconfig.Settings{
-			Node: fmt.Sprint("core-", i+1), IP: ip, Zone: names[i%3], Region: zones[names[i%3]], Zones: zones,
-			FreePorts: processconfig.PortRange{First: first, Last: first + portsPerMachine - 1},
-			FirstBoot: true, CountsAsLoss: true, StateDir: t.TempDir(),
+			Node:             fmt.Sprint("core-", i+1),
+			IP:               ip,
+			Zone:             zone,
+			Region:           zones[zone],
+			Zones:            zones,
+			FreePorts:        processconfig.PortRange{First: first, Last: first + portsPerMachine - 1},
+			FirstBoot:        true,
+			CountsAsLoss:     true,
+			StateDir:         t.TempDir(),
 			SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1},
 			Timing:           processconfig.Timing{GracePeriod: 2 * time.Second, TTLMax: time.Second},
-			CloudAPI:         processconfig.CloudAPI{Address: netip.MustParseAddrPort(server.Listener.Addr().String()), CallsPerSecond: 100},
+			CloudAPI: processconfig.CloudAPI{
+				Address:        netip.MustParseAddrPort(server.Listener.Addr().String()),
+				CallsPerSecond: 100,
+			},
 		}
 		settings.ListenOn.Control = netip.AddrPortFrom(ip, first+2)
 		settings.ListenOn.Directory = netip.AddrPortFrom(ip, first+3)
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -53,11 +53,14 @@
 func (sim *simulation) checkStep(process *simProcess) {
 	version := process.state.Version()
 	if version < process.version || process.group.appliedIndex < process.appliedIndex {
-		sim.fail("machine %d goes back from version %d at %d to %d at %d", process.machine.index, process.version, process.appliedIndex, version,
-			process.group.appliedIndex)
+		sim.fail("machine %d goes back from version %d at %d to %d at %d",
+			process.machine.index, process.version, process.appliedIndex, version, process.group.appliedIndex)
 	}
-	if process.group.appliedIndex != process.appliedIndex && version != sim.oracle.versionAt(process.group.appliedIndex) {
-		sim.fail("machine %d is at version %d, where %d was committed", process.machine.index, version, sim.oracle.versionAt(process.group.appliedIndex))
+	if process.group.appliedIndex != process.appliedIndex {
+		committed := sim.oracle.versionAt(process.group.appliedIndex)
+		if version != committed {
+			sim.fail("machine %d is at version %d, where %d was committed", process.machine.index, version, committed)
+		}
 	}
 	process.version, process.appliedIndex = version, process.group.appliedIndex
 	sim.checkStaleness(process)
@@ -124,9 +127,11 @@
 		sim.stats.counters.terms++
 		sim.oracle.leaders[term] = process.host.self.ID
 	}
-	stalled := len(process.activeJobs) > 0 && len(durableWrites(process.activeJobs)) > 0 && process.clock()-process.writeStarted > maxStalledLeadership
+	isWriting := len(process.activeJobs) > 0 && len(durableWrites(process.activeJobs)) > 0
+	writingFor := process.clock() - process.writeStarted
+	stalled := isWriting && writingFor > maxStalledLeadership
 	if stalled && sim.now-process.resumedAt > maxStalledLeadership {
-		sim.fail("machine %d leads, and its disk has not finished a write for %v", process.machine.index, process.clock()-process.writeStarted)
+		sim.fail("machine %d leads, and its disk has not finished a write for %v", process.machine.index, writingFor)
 	}
 }
 
@@ -212,8 +217,8 @@
 		sim.fail("machine %d makes a voter of no member: %v", process.machine.index, memberList(after.Members))
 	}
 	if !difference.allowed(before, after) {
-		sim.fail("machine %d changes %d members and %d votes at once: %v, then %v", process.machine.index, difference.members, difference.votes,
-			memberList(before.Members), memberList(after.Members))
+		sim.fail("machine %d changes %d members and %d votes at once: %v, then %v",
+			process.machine.index, difference.members, difference.votes, memberList(before.Members), memberList(after.Members))
 	}
 	anywhere := func(*simMachine) bool { return false }
 	if sim.majorityIntact(before, anywhere) && !sim.majorityIntact(after, anywhere) {
--- a/internal/system/replica/sim_convergence_test.go
+++ b/internal/system/replica/sim_convergence_test.go
@@ -25,8 +25,9 @@
 		if other == nil {
 			return fmt.Sprintf("machine %d is down", machine.index)
 		}
-		if !other.host.isMember(other.group) || other.version != sim.oracle.versionAt(sim.oracle.appliedIndex) {
-			return fmt.Sprintf("machine %d is at version %d of %d", machine.index, other.version, sim.oracle.versionAt(sim.oracle.appliedIndex))
+		committed := sim.oracle.versionAt(sim.oracle.appliedIndex)
+		if !other.host.isMember(other.group) || other.version != committed {
+			return fmt.Sprintf("machine %d is at version %d of %d", machine.index, other.version, committed)
 		}
 	}
 	for _, operator := range sim.operators {
@@ -53,7 +54,8 @@
 func (sim *simulation) membershipNotConverged(process *simProcess, machines []*simMachine) string {
 	status := process.group.node.Status()
 	text := "the membership is " + memberList(status.Membership.Members).String()
-	if _, more := planChange(process.host.membershipView(process.clock(), process.group, &status)); more || status.MembershipIndex > status.Commit {
+	view := process.host.membershipView(process.clock(), process.group, &status)
+	if _, more := planChange(view); more || status.MembershipIndex > status.Commit {
 		return text + ", which is to change"
 	}
 	learners := len(status.Membership.Members) - countVoters(status.Membership)
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -68,8 +68,8 @@
 			other.process.host.addAddress(machine.address())
 		}
 	}
-	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.index, formatReplicaID(machine.disk.id), stored.HardState, stored.Snapshot.Index,
-		process.group.node.Status().LastIndex)
+	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.index, formatReplicaID(machine.disk.id),
+		stored.HardState, stored.Snapshot.Index, process.group.node.Status().LastIndex)
 	process.execute(func() {})
 }
 
--- a/internal/system/replica/sim_stats_test.go
+++ b/internal/system/replica/sim_stats_test.go
@@ -53,8 +53,9 @@
 func (c *simStats) String() string {
 	n := &c.counters
 	return fmt.Sprintf("%d steps, %d versions, %d accepted, %d conflicts, %d unknown, %d reads, %d disks lost, %d snapshots "+
-		"sent, %d changes of membership, %d terms, %d evacuations acknowledged", n.steps, n.versions, n.accepted, n.conflicts, n.unknown, n.reads, n.losses,
-		n.snapshots, n.membershipChanges, n.terms, n.evacuations)
+		"sent, %d changes of membership, %d terms, %d evacuations acknowledged",
+		n.steps, n.versions, n.accepted, n.conflicts, n.unknown, n.reads, n.losses, n.snapshots,
+		n.membershipChanges, n.terms, n.evacuations)
 }
 
 // checkCoverage checks that every kind of event occurred.
