--- a/internal/dispatcher/cluster/auditlog/clocks.go
+++ b/internal/dispatcher/cluster/auditlog/clocks.go
@@ -43,61 +43,79 @@
 		return
 	}
 	// received - lead(receiver) >= sent - lead(sender)
-	pair, lead := clockPair{receiver, sender}, received-sent
-	if known, has := c.maxLead[pair]; !has || lead < known {
+	pair := clockPair{receiver, sender}
+	lead := received - sent
+	if known, isKnown := c.maxLead[pair]; !isKnown || lead < known {
 		c.maxLead[pair] = lead
 	}
 }
 
 // solve computes the offsets. The reference is the first dispatcher by name that is connected to most others.
-func (c *clockSolver) solve() (offsets map[string]ClockOffset) {
+func (c *clockSolver) solve() map[string]ClockOffset {
 	slices.Sort(c.dispatchers)
-	n := len(c.dispatchers)
-	maxLead := make([][]float64, n)
+	maxLead := c.maxLeads()
+	reference := bestConnected(maxLead)
+	offsets := map[string]ClockOffset{}
+	for i, dispatcher := range c.dispatchers {
+		offset := ClockOffset{Dispatcher: dispatcher}
+		switch high, low := maxLead[i][reference], -maxLead[reference][i]; {
+		case i == reference:
+			offset.Known = true
+			offset.Reason = "the reference"
+		case math.IsInf(high, 1) || math.IsInf(low, -1):
+			offset.Reason = "too few messages to set it right by: taken as it is"
+		case high < low || maxLead[i][i] < 0:
+			offset.Reason = "its clock, or another one's, was set while it ran: taken as it is"
+		default:
+			offset.Known = true
+			offset.Lead = (high + low) / 2
+			offset.Uncertainty = (high - low) / 2
+		}
+		offsets[dispatcher] = offset
+	}
+	return offsets
+}
+
+// maxLeads returns the upper bound of each dispatcher's lead over each other one, by their indices; +Inf: not known. They
+// are the lengths of the shortest paths, since a lead is at most the sum of the leads in between.
+func (c *clockSolver) maxLeads() [][]float64 {
+	maxLead := make([][]float64, len(c.dispatchers))
 	for i := range maxLead {
-		maxLead[i] = make([]float64, n)
+		maxLead[i] = make([]float64, len(c.dispatchers))
 		for j := range maxLead[i] {
 			maxLead[i][j] = math.Inf(1)
 			pair := clockPair{c.dispatchers[i], c.dispatchers[j]}
-			if most, known := c.maxLead[pair]; known {
-				maxLead[i][j] = most
+			if lead, known := c.maxLead[pair]; known {
+				maxLead[i][j] = lead
 			}
 		}
 		maxLead[i][i] = 0
 	}
-	for k := range maxLead { // shortest paths: a lead is at most the sum of the leads in between
+	for k := range maxLead {
 		for i := range maxLead {
 			for j := range maxLead {
 				maxLead[i][j] = min(maxLead[i][j], maxLead[i][k]+maxLead[k][j])
 			}
 		}
 	}
-	offsets = map[string]ClockOffset{}
-	reference, reached := 0, -1
+	return maxLead
+}
+
+// bestConnected returns the index of the first dispatcher with bounds of its lead in both directions to most others.
+func bestConnected(maxLead [][]float64) int {
+	best := 0
+	mostConnections := -1
 	for i := range maxLead {
-		both := 0
+		connections := 0
 		for j := range maxLead {
 			if !math.IsInf(maxLead[i][j]+maxLead[j][i], 1) {
-				both++
+				connections++
 			}
 		}
-		if both > reached {
-			reference, reached = i, both
+		if connections > mostConnections {
+			best = i
+			mostConnections = connections
 		}
 	}
-	for i, dispatcher := range c.dispatchers {
-		offset := ClockOffset{Dispatcher: dispatcher}
-		switch high, low := maxLead[i][reference], -maxLead[reference][i]; {
-		case i == reference:
-			offset.Known, offset.Reason = true, "the reference"
-		case math.IsInf(high, 1) || math.IsInf(low, -1):
-			offset.Reason = "too few messages to set it right by: taken as it is"
-		case high < low || maxLead[i][i] < 0:
-			offset.Reason = "its clock, or another one's, was set while it ran: taken as it is"
-		default:
-			offset.Known, offset.Lead, offset.Uncertainty = true, (high+low)/2, (high-low)/2
-		}
-		offsets[dispatcher] = offset
-	}
-	return offsets
+	return best
 }
--- a/internal/dispatcher/cluster/auditlog/log.go
+++ b/internal/dispatcher/cluster/auditlog/log.go
@@ -39,10 +39,24 @@
 )
 
 var kinds = map[string]bool{
-	Started: true, ListApplied: true, FactsReceived: true, CaughtUp: true, NewerKnown: true, FactsDoubted: true,
-	DiscoverySilent: true, DiscoveryResumed: true, ClockReceived: true, OrderReceived: true, LeaseChanged: true,
-	Paused: true, Resumed: true, SettingsChanged: true, ExclusionsChanged: true, ViewConverged: true,
-	KeepAlive: true, Ended: true,
+	Started:           true,
+	ListApplied:       true,
+	FactsReceived:     true,
+	CaughtUp:          true,
+	NewerKnown:        true,
+	FactsDoubted:      true,
+	DiscoverySilent:   true,
+	DiscoveryResumed:  true,
+	ClockReceived:     true,
+	OrderReceived:     true,
+	LeaseChanged:      true,
+	Paused:            true,
+	Resumed:           true,
+	SettingsChanged:   true,
+	ExclusionsChanged: true,
+	ViewConverged:     true,
+	KeepAlive:         true,
+	Ended:             true,
 }
 
 // Worker is what an entry tells of a worker.
@@ -113,7 +127,10 @@
 func (l *Log) Append(now float64, entry Entry) uint64 {
 	l.number++
 	l.lastAppend = now
-	entry.Time, entry.Dispatcher, entry.Generation, entry.Number = now, l.dispatcher, l.generation, l.number
+	entry.Time = now
+	entry.Dispatcher = l.dispatcher
+	entry.Generation = l.generation
+	entry.Number = l.number
 	if len(entry.Workers) > maxWorkers {
 		entry.Workers, entry.OmittedWorkers = entry.Workers[:maxWorkers], len(entry.Workers)-maxWorkers
 	}
--- a/internal/dispatcher/cluster/auditlog/read.go
+++ b/internal/dispatcher/cluster/auditlog/read.go
@@ -68,7 +68,8 @@
 			line = append(line, chunk...)
 		}
 		if len(line) > maxLineLength {
-			line, long = nil, true
+			line = nil
+			long = true
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -82,37 +83,60 @@
 
 // requestLogLine is a line of the request log, as far as it is read here.
 type requestLogLine struct {
-	Time    float64 `json:"time"`
-	By      string  `json:"by"`
-	ID      string  `json:"id"`
-	Verdict string  `json:"verdict"`
-	Took    float64 `json:"took_ms"`
-	Mark    string  `json:"mark"`
-	Tries   []struct {
-		Node string  `json:"node"`
-		Sent float64 `json:"sent_ms"`
-		Mark uint64  `json:"mark"`
-	} `json:"tries"`
+	Time    float64             `json:"time"` // of the answer
+	By      string              `json:"by"`
+	ID      string              `json:"id"`
+	Verdict string              `json:"verdict"`
+	Took    float64             `json:"took_ms"`
+	Mark    string              `json:"mark"` // the dispatcher's generation, a point, and the last entry in force
+	Tries   []requestLogAttempt `json:"tries"`
 }
 
+// requestLogAttempt is an attempt in a line of the request log.
+type requestLogAttempt struct {
+	Node string  `json:"node"`
+	Sent float64 `json:"sent_ms"` // since the request's arrival
+	Mark uint64  `json:"mark"`
+}
+
+// parseLine parses a line of either log. entry and send may be nil.
 func parseLine(text []byte, entry func(*Entry), send func(*Attempt)) error {
-	if bytes.Contains(text, []byte(`"verdict":`)) && !bytes.Contains(text, []byte(`"what":`)) {
-		if send == nil {
-			return nil
-		}
-		var answer requestLogLine
-		if err := json.Unmarshal(text, &answer); err != nil {
-			return err
-		}
-		life, _, marked := strings.Cut(answer.Mark, ".")
-		if !validTime(answer.Time) || answer.By == "" || answer.Mark != "" && (!marked || life == "") {
-			return errUnknownForm
-		}
-		for _, t := range answer.Tries {
-			send(&Attempt{Dispatcher: answer.By, Generation: life, ID: answer.ID, Node: t.Node, At: answer.Time + (t.Sent-answer.Took)/1000, Mark: t.Mark})
-		}
+	isAnswer := bytes.Contains(text, []byte(`"verdict":`)) && !bytes.Contains(text, []byte(`"what":`))
+	if !isAnswer {
+		return parseEntry(text, entry)
+	}
+	if send == nil {
 		return nil
 	}
+	return parseAnswer(text, send)
+}
+
+// parseAnswer parses a line of the request log.
+func parseAnswer(text []byte, send func(*Attempt)) error {
+	var answer requestLogLine
+	if err := json.Unmarshal(text, &answer); err != nil {
+		return err
+	}
+	generation, _, hasNumber := strings.Cut(answer.Mark, ".")
+	isMarkValid := answer.Mark == "" || hasNumber && generation != ""
+	if !validTime(answer.Time) || answer.By == "" || !isMarkValid {
+		return errUnknownForm
+	}
+	for _, attempt := range answer.Tries {
+		send(&Attempt{
+			Dispatcher: answer.By,
+			Generation: generation,
+			ID:         answer.ID,
+			Node:       attempt.Node,
+			At:         answer.Time + (attempt.Sent-answer.Took)/1000,
+			Mark:       attempt.Mark,
+		})
+	}
+	return nil
+}
+
+// parseEntry parses a line of an audit log. entry may be nil.
+func parseEntry(text []byte, entry func(*Entry)) error {
 	e := &Entry{}
 	if err := json.Unmarshal(text, e); err != nil {
 		return err
