--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -27,7 +27,11 @@
 
 func run(program *startup.Program, log *zap.Logger) error {
 	return program.Run(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
-		return agent.New(ctx, agent.Options{Settings: settings, Version: program.Version, Log: log,
-			Metrics: program.MetricsAddress(settings.IP)})
+		return agent.New(ctx, agent.Options{
+			Settings: settings,
+			Version:  program.Version,
+			Log:      log,
+			Metrics:  program.MetricsAddress(settings.IP),
+		})
 	})
 }
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -102,9 +102,13 @@
 		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
 	}
 	for i := range p.Crash {
-		s.Crashes = append(s.Crashes, policysim.Crash{Service: "llm", RunnerIndex: i * crashStride, At: crashAt,
-			Downtime: crashFor,
-			Silent:   p.Dark})
+		s.Crashes = append(s.Crashes, policysim.Crash{
+			Service:     "llm",
+			RunnerIndex: i * crashStride,
+			At:          crashAt,
+			Downtime:    crashFor,
+			Silent:      p.Dark,
+		})
 	}
 	return s
 }
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -9,8 +9,6 @@
 	"hash/maphash"
 	"net/netip"
 	"os"
-	"os/signal"
-	"syscall"
 
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
@@ -46,8 +44,7 @@
 }
 
 func run(program *startup.Program, log *zap.Logger) error {
-	// First of all, because the signal's default action ends the process. A running proxy does not reload its settings.
-	signal.Ignore(syscall.SIGHUP)
+	startup.IgnoreReload() // before anything else, since the signal would otherwise end the process
 	settings, err := processconfig.Load()
 	if err != nil {
 		return err
@@ -80,20 +77,36 @@
 var errNoFrontAddress = errors.New("the settings name no listen_on.front; does the deploy file give this role " +
 	`serves = ["edge"]?`)
 
+// newProxy returns the proxy that the settings describe; metrics is where it serves its metrics, the zero value: nowhere.
 func newProxy(loop *eventloop.Loop, log *zap.Logger, settings *processconfig.Settings,
 	metrics netip.AddrPort) (*proxy.Proxy, error) {
 	seed := maphash.Bytes(maphash.MakeSeed(), []byte(settings.Node))
 	timing := &settings.Timing
-	placer, err := placement.New(placement.Options{Zone: settings.Zone, Region: settings.Region, Zones: settings.Zones,
-		RetryRatio: timing.RetryRatio, RetryWindow: timing.RetryWindow, RetryAllowance: timing.RetryAllowance,
-		SlowStartFactor: timing.SlowStartFactor, SlowStartAllowance: timing.SlowStartAllowance}, seed)
+	placer, err := placement.New(placement.Options{
+		Zone:               settings.Zone,
+		Region:             settings.Region,
+		Zones:              settings.Zones,
+		RetryRatio:         timing.RetryRatio,
+		RetryWindow:        timing.RetryWindow,
+		RetryAllowance:     timing.RetryAllowance,
+		SlowStartFactor:    timing.SlowStartFactor,
+		SlowStartAllowance: timing.SlowStartAllowance,
+	}, seed)
 	if err != nil {
 		return nil, err
 	}
-	return proxy.New(loop, log, placer, proxy.Options{FrontAddr: settings.ListenOn.Front, ReadyAddr: settings.ListenOn.Ready,
-		MetricsAddr: metrics, Node: settings.Node, Zone: settings.Zone, LinkBytesPerSecond: settings.Limits.LinkBytesPerSecond(),
-		NoticeAddr:  netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
-		MemoryBytes: settings.Limits.RAMMB << 20, GracePeriod: timing.GracePeriod, Seed: seed}), nil
+	return proxy.New(loop, log, placer, proxy.Options{
+		FrontAddr:          settings.ListenOn.Front,
+		ReadyAddr:          settings.ListenOn.Ready,
+		MetricsAddr:        metrics,
+		NoticeAddr:         netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ProxyPort)),
+		Node:               settings.Node,
+		Zone:               settings.Zone,
+		LinkBytesPerSecond: settings.Limits.LinkBytesPerSecond(),
+		MemoryBytes:        settings.Limits.RAMMB << 20,
+		GracePeriod:        timing.GracePeriod,
+		Seed:               seed,
+	}), nil
 }
 
 // listen starts serving. The previous instance may still hold the addresses while it exits.
@@ -121,10 +134,9 @@
 
 // shutDownOnSignal starts the proxy's shutdown on a stop signal. Its goroutine lasts as long as the process.
 func shutDownOnSignal(loop *eventloop.Loop, dataPlane *proxy.Proxy) {
-	signals := make(chan os.Signal, 2)
-	signal.Notify(signals, startup.StopSignals()...)
+	stops := startup.NotifyStop()
 	go func() {
-		for range signals {
+		for range stops {
 			loop.Post(dataPlane.Stop)
 		}
 	}()
--- a/cmd/cinderroad-simserver/main.go
+++ b/cmd/cinderroad-simserver/main.go
@@ -25,7 +25,9 @@
 
 // run answers batches until the input ends.
 func run(input io.Reader, output io.Writer) error {
-	reader, host, writer := simwire.NewReader(input), simwire.NewHost(), bufio.NewWriterSize(output, outputBuffer)
+	reader := simwire.NewReader(input)
+	host := simwire.NewHost()
+	writer := bufio.NewWriterSize(output, outputBuffer)
 	for {
 		frame, err := reader.Next()
 		if errors.Is(err, io.EOF) {
--- a/internal/system/proxy/notice.go
+++ b/internal/system/proxy/notice.go
@@ -3,17 +3,19 @@
 import (
 	"encoding/binary"
 
+	"cinderroad/internal/system/codec"
 	"cinderroad/internal/system/placement"
 )
 
 // Encoding of a notice: its kind in one byte, the runner's key in eight, and for a prompt its number of tokens as a
 // varint.
 const (
-	noticeRelayFlag   = 0x80 // bit of the kind: the receiver forwards the notice in its zone, without the bit
-	noticeHeaderBytes = 1 + 8
-	maxNoticeTokens   = 1<<24 - 1 // per prompt
+	noticeRelayFlag = 0x80 // bit of the kind: the receiver forwards the notice in its zone, without the bit
+	noticeKeyBytes  = 8
+	maxNoticeTokens = 1<<24 - 1 // per prompt
 )
 
+// appendNotice appends the encoding of a notice that is not to be relayed.
 func appendNotice(b []byte, notice placement.Notice) []byte {
 	b = append(b, byte(notice.Kind))
 	b = binary.LittleEndian.AppendUint64(b, notice.RunnerKey)
@@ -23,21 +25,30 @@
 	return binary.AppendUvarint(b, uint64(min(notice.Tokens, maxNoticeTokens)))
 }
 
+// parseNotice decodes a notice and whether the receiver is to relay it. Neither is valid unless ok: the bytes are a
+// whole notice of a kind that is known, and nothing more.
 func parseNotice(b []byte) (notice placement.Notice, relayed, ok bool) {
-	if len(b) < noticeHeaderBytes {
+	reader := codec.NewReader(b)
+	kind := reader.Byte("kind")
+	key := reader.Fixed("runner key", noticeKeyBytes)
+	if _, failed := reader.Malformed(); failed {
 		return notice, false, false
 	}
-	relayed = b[0]&noticeRelayFlag != 0
-	notice.Kind = placement.NoticeKind(b[0] &^ noticeRelayFlag)
-	notice.RunnerKey = binary.LittleEndian.Uint64(b[1:])
-	rest := b[noticeHeaderBytes:]
+	relayed = kind&noticeRelayFlag != 0
+	notice.Kind = placement.NoticeKind(kind &^ noticeRelayFlag)
+	notice.RunnerKey = binary.LittleEndian.Uint64(key)
 	switch notice.Kind {
 	case placement.NoticeRecovery:
-		return notice, relayed, len(rest) == 0
 	case placement.NoticePrefill:
-		tokens, n := binary.Uvarint(rest)
+		tokens := reader.Uvarint("tokens")
+		if tokens > maxNoticeTokens {
+			reader.Fail("tokens")
+		}
 		notice.Tokens = int(min(tokens, maxNoticeTokens))
-		return notice, relayed, n > 0 && n == len(rest) && tokens <= maxNoticeTokens
+	default:
+		reader.Fail("kind")
 	}
-	return notice, relayed, false
+	reader.ExpectEnd("end")
+	_, failed := reader.Malformed()
+	return notice, relayed, !failed
 }
--- a/internal/system/proxy/shutdown_plan.go
+++ b/internal/system/proxy/shutdown_plan.go
@@ -27,11 +27,10 @@
 	closeListener time.Duration // the process exits afterwards once nothing is in progress
 }
 
-// planShutdown divides the grace period, which runs from the signal until the process is killed.
+// planShutdown divides the grace period, which runs from the signal until the process is killed. One of 0 or less counts
+// as shutdown.DefaultGracePeriod.
 func planShutdown(grace time.Duration) shutdownPlan {
-	if grace <= 0 {
-		grace = shutdown.DefaultGracePeriod
-	}
+	grace = shutdown.GracePeriodOrDefault(grace)
 	closeListener := min(time.Duration(float64(grace)*acceptAnyFraction), mustCompleteAfter-acceptAnyMargin)
 	return shutdownPlan{
 		Schedule:      shutdown.Plan(grace),
--- a/internal/system/shutdown/shutdown.go
+++ b/internal/system/shutdown/shutdown.go
@@ -12,6 +12,14 @@
 	marginDivisor = 12                     // the margin is at most the grace period divided by this
 )
 
+// GracePeriodOrDefault returns a grace period as the settings name it, or DefaultGracePeriod if it is 0 or less.
+func GracePeriodOrDefault(configured time.Duration) time.Duration {
+	if configured <= 0 {
+		return DefaultGracePeriod
+	}
+	return configured
+}
+
 // Schedule holds the times at which the programs end, counted from the signal to stop. They are in ascending order.
 type Schedule struct {
 	LastResponses time.Duration // the proxy answers every request that is still pending
@@ -22,9 +30,11 @@
 // Plan divides a grace period, which begins with the signal to stop and ends when the platform kills the processes. A
 // grace period of 0 or less counts as DefaultGracePeriod.
 func Plan(grace time.Duration) Schedule {
-	if grace <= 0 {
-		grace = DefaultGracePeriod
-	}
+	grace = GracePeriodOrDefault(grace)
 	margin := min(maxMargin, grace/marginDivisor)
-	return Schedule{LastResponses: grace - margin, ProxyEnd: grace - margin*3/4, AgentEnd: grace - margin/2}
+	return Schedule{
+		LastResponses: grace - margin,
+		ProxyEnd:      grace - margin*3/4,
+		AgentEnd:      grace - margin/2,
+	}
 }
