--- a/internal/shared/capacity/capacity_test.go
+++ b/internal/shared/capacity/capacity_test.go
@@ -43,7 +43,9 @@
 			"overload": func(t *rapid.T) {
 				before := limits
 				limits.RecordOverload(rapid.Float64Range(0, 2*slots).Draw(t, "load"), slots)
-				if limits.Load > before.Load || limits.Utilization > before.Utilization || limits.Load < before.Load*decreaseFactor-1e-9 && limits.Load > minLoadShare*slots+1e-9 {
+				raised := limits.Load > before.Load || limits.Utilization > before.Utilization
+				tooLow := limits.Load < before.Load*decreaseFactor-1e-9 && limits.Load > minLoadShare*slots+1e-9
+				if raised || tooLow {
 					t.Fatalf("%+v, was %+v", limits, before)
 				}
 			},
@@ -62,7 +64,9 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if limits.Load < minLoadShare*slots-1e-9 || limits.Load > GrowthMargin*slots+1e-9 || limits.Utilization < minUtilization-1e-9 || limits.Utilization > InitialMargin+1e-9 {
+				loadOutside := limits.Load < minLoadShare*slots-1e-9 || limits.Load > GrowthMargin*slots+1e-9
+				utilizationOutside := limits.Utilization < minUtilization-1e-9 || limits.Utilization > InitialMargin+1e-9
+				if loadOutside || utilizationOutside {
 					t.Fatalf("%+v for a size of %v", limits, slots)
 				}
 			},
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -94,7 +94,9 @@
 func TestDescriptorLimit(t *testing.T) {
 	loop := newLoop(t, 2)
 	var heard []string
-	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler { return recordingHandler{&heard, "server", nil} })
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(*Conn) Handler {
+		return recordingHandler{&heard, "server", nil}
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -226,7 +226,8 @@
 			return
 		}
 		for size := range 3 {
-			if b, count, complete, err := readAll(head.Body, string(input[n:]), size+1); b != body || count != taken || !complete || err != nil {
+			b, count, complete, err := readAll(head.Body, string(input[n:]), size+1)
+			if b != body || count != taken || !complete || err != nil {
 				t.Fatalf("by %d bytes: %q, %d, %v, %v; at once: %q, %d", size+1, b, count, complete, err, body, taken)
 			}
 		}
--- a/internal/shared/lease/lease_test.go
+++ b/internal/shared/lease/lease_test.go
@@ -20,11 +20,18 @@
 }
 
 func newSimulation(n int) *simulation {
-	sim := &simulation{now: 1000, lastDiscovery: make([]float64, n), lastUpdate: make([]float64, n), isolated: make([]bool, n), excluded: make([]bool, n)}
+	sim := &simulation{
+		now:           1000,
+		lastDiscovery: make([]float64, n),
+		lastUpdate:    make([]float64, n),
+		isolated:      make([]bool, n),
+		excluded:      make([]bool, n),
+	}
 	for i := range n {
 		sim.members = append(sim.members, Member{Name: fmt.Sprint("m", i), Key: uint64(7 * (i + 3) % 101)})
 		sim.leases = append(sim.leases, &Lease{ProbeInterval: 1, Term: Term(5, 1)})
-		sim.lastDiscovery[i], sim.lastUpdate[i] = sim.now, sim.now
+		sim.lastDiscovery[i] = sim.now
+		sim.lastUpdate[i] = sim.now
 	}
 	return sim
 }
@@ -36,7 +43,8 @@
 	anybody := false
 	for i := range s.members {
 		if reachable(i) {
-			s.lastDiscovery[i], s.lastUpdate[i] = s.now, s.now
+			s.lastDiscovery[i] = s.now
+			s.lastUpdate[i] = s.now
 			anybody = anybody || !s.isolated[i]
 		}
 	}
@@ -45,23 +53,9 @@
 			s.lastUpdate[i] = s.now
 		}
 	}
-	var inputs []Input
+	var inputs []Input // all are made before any lease is updated
 	for i := range s.members {
-		input := Input{Now: s.now, Self: s.members[i], LastDiscovery: s.lastDiscovery[i]}
-		input.Self.LastUpdate, input.Self.State, input.Self.Excluded = s.lastUpdate[i], s.leases[i].State(), s.excluded[i]
-		for j, m := range s.members {
-			if j == i {
-				continue
-			}
-			m.LastContact, m.State, m.LastUpdate, m.Excluded = s.now, s.leases[j].State(), s.lastUpdate[j], s.excluded[j]
-			m.DirectUpdate = s.lastDiscovery[j] >= s.now-5
-			m.UpdateLead = s.lastUpdate[j] - s.lastUpdate[i]
-			if s.isolated[i] || s.isolated[j] {
-				m.LastContact, m.LastUpdate, m.DirectUpdate, m.State = s.isolatedAt, min(m.LastUpdate, s.isolatedAt), s.lastDiscovery[j] >= s.isolatedAt-5, Held
-			}
-			input.Others = append(input.Others, m)
-		}
-		inputs = append(inputs, input)
+		inputs = append(inputs, s.inputOf(i))
 	}
 	for i := range s.members {
 		if s.leases[i].Update(&inputs[i]) == Out {
@@ -71,6 +65,33 @@
 	return out
 }
 
+// inputOf returns what member i knows.
+func (s *simulation) inputOf(i int) Input {
+	input := Input{Now: s.now, Self: s.members[i], LastDiscovery: s.lastDiscovery[i]}
+	input.Self.LastUpdate = s.lastUpdate[i]
+	input.Self.State = s.leases[i].State()
+	input.Self.Excluded = s.excluded[i]
+	for j, m := range s.members {
+		if j == i {
+			continue
+		}
+		m.LastContact = s.now
+		m.LastUpdate = s.lastUpdate[j]
+		m.DirectUpdate = s.lastDiscovery[j] >= s.now-5
+		m.UpdateLead = s.lastUpdate[j] - s.lastUpdate[i]
+		m.State = s.leases[j].State()
+		m.Excluded = s.excluded[j]
+		if s.isolated[i] || s.isolated[j] {
+			m.LastContact = s.isolatedAt
+			m.LastUpdate = min(m.LastUpdate, s.isolatedAt)
+			m.DirectUpdate = s.lastDiscovery[j] >= s.isolatedAt-5
+			m.State = Held
+		}
+		input.Others = append(input.Others, m)
+	}
+	return input
+}
+
 func (s *simulation) run(seconds int, reachable func(i int) bool) (most int) {
 	for range seconds {
 		most = max(most, s.step(reachable))
--- a/internal/shared/membership/measurements_test.go
+++ b/internal/shared/membership/measurements_test.go
@@ -36,7 +36,14 @@
 
 // play plays a cluster of n: all start within a probe interval, run for a while, and one in ten is killed.
 func play(seed uint64, n int, loss float64, plain bool) (r trial) {
-	net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: loss, Delay: 0.002, Jitter: 0.01, PlainSWIM: plain, EncodeEvery: 7}, n)
+	net := virtualcluster.New(virtualcluster.Options{
+		Seed:        seed,
+		LossRate:    loss,
+		Delay:       0.002,
+		Jitter:      0.01,
+		PlainSWIM:   plain,
+		EncodeEvery: 7,
+	}, n)
 	until := func(alive, dead int, limit float64) float64 {
 		took, ok := net.RunUntil(limit, 0.5, func() bool {
 			for _, node := range net.Nodes {
@@ -64,19 +71,26 @@
 		}
 		return n
 	}
-	before, sent, bytes := wrong(), 0, 0.0
+	before := wrong()
+	sent := 0
+	bytes := 0.0
 	for _, node := range net.Nodes {
-		sent, bytes = sent-node.Sent, bytes-node.Bytes
+		sent -= node.Sent
+		bytes -= node.Bytes
 	}
-	from, began := net.Now, time.Now()
+	from := net.Now
+	began := time.Now()
 	span := 40.0
 	net.Run(net.Now + span)
 	r.cpu = time.Since(began).Seconds() / span / float64(n)
 	for _, node := range net.Nodes {
-		sent, bytes = sent+node.Sent, bytes+node.Bytes
+		sent += node.Sent
+		bytes += node.Bytes
 	}
-	r.messages, r.bytes = float64(sent)/span/float64(n), bytes/span/float64(n)
-	r.wrong, r.hours = wrong()-before, float64(n)*(net.Now-from)/3600
+	r.messages = float64(sent) / span / float64(n)
+	r.bytes = bytes / span / float64(n)
+	r.wrong = wrong() - before
+	r.hours = float64(n) * (net.Now - from) / 3600
 	for i, node := range net.Nodes {
 		if i%10 == 9 {
 			net.Kill(node)
@@ -137,15 +151,20 @@
 	return v[len(v)/2], v[len(v)-1]
 }
 
-// TestMeasurements writes the table of the design note: go test ./internal/shared/membership -run TestMeasurements -timeout 2h -fleet.measure FILE
+// TestMeasurements writes the table of the design note:
+//
+//	go test ./internal/shared/membership -run TestMeasurements -timeout 2h -fleet.measure FILE
 func TestMeasurements(t *testing.T) {
 	if *measure == "" {
 		t.Skip("by hand, with -fleet.measure")
 	}
 	sizes, shares := numbers[int](t, *measureSizes), numbers[float64](t, *losses)
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d seeds a row, %d of plain SWIM. Periods until all hold the same members, median and worst; members held dead that ran, for each member-hour.\n\n", *measureSeeds, *plainSeeds)
-	b.WriteString("| members | loss | | join | one in ten killed | wrong deaths | messages | bytes | processor, µs |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	fmt.Fprintf(&b, "%d seeds a row, %d of plain SWIM. ", *measureSeeds, *plainSeeds)
+	b.WriteString("Periods until all hold the same members, median and worst; ")
+	b.WriteString("members held dead that ran, for each member-hour.\n\n")
+	b.WriteString("| members | loss | | join | one in ten killed | wrong deaths | messages | bytes | processor, µs |\n")
+	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	shown := func(v float64) string {
 		if v >= never {
 			return "never"
@@ -163,13 +182,18 @@
 				}
 				join, joinWorst := pick(all, func(r *trial) float64 { return r.join })
 				found, foundWorst := pick(all, func(r *trial) float64 { return r.found })
-				wrong, hours, messages, bytes, cpu := 0, 0.0, 0.0, 0.0, 0.0
+				var mean trial // of the rates; wrong and hours are sums
 				for _, r := range all {
-					wrong, hours = wrong+r.wrong, hours+r.hours
-					messages, bytes, cpu = messages+r.messages/float64(len(all)), bytes+r.bytes/float64(len(all)), cpu+r.cpu/float64(len(all))
+					mean.wrong += r.wrong
+					mean.hours += r.hours
+					mean.messages += r.messages / float64(len(all))
+					mean.bytes += r.bytes / float64(len(all))
+					mean.cpu += r.cpu / float64(len(all))
 				}
-				fmt.Fprintf(&b, "| %d | %.0f%% | %s | %s, %s | %s, %s | %.3f | %.1f | %.0f | %.0f |\n", n, 100*loss, name, shown(join), shown(joinWorst),
-					shown(found), shown(foundWorst), float64(wrong)/hours, messages, bytes, 1e6*cpu)
+				fmt.Fprintf(&b, "| %d | %.0f%% | %s ", n, 100*loss, name)
+				fmt.Fprintf(&b, "| %s, %s | %s, %s ", shown(join), shown(joinWorst), shown(found), shown(foundWorst))
+				fmt.Fprintf(&b, "| %.3f ", float64(mean.wrong)/mean.hours)
+				fmt.Fprintf(&b, "| %.1f | %.0f | %.0f |\n", mean.messages, mean.bytes, 1e6*mean.cpu)
 				for what, v := range map[string]float64{"join": join, "found dead": found} {
 					if loss == 0.05 && v < never {
 						lines[name+", "+what] = append(lines[name+", "+what], point{float64(n), v})
@@ -217,13 +241,15 @@
 	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 %d %d" font-family="sans-serif" font-size="11">`, width, height)
 	b.WriteString("\n<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n")
 	for _, v := range []float64{1, 10, 100, 1000} {
-		fmt.Fprintf(&b, `<path d="M%d %.0fH%d" stroke="#ddd"/><text x="%d" y="%.0f" text-anchor="end">%.0f</text>`+"\n", left, y(v), width-180, left-6, y(v)+4, v)
+		fmt.Fprintf(&b, `<path d="M%d %.0fH%d" stroke="#ddd"/>`, left, y(v), width-180)
+		fmt.Fprintf(&b, `<text x="%d" y="%.0f" text-anchor="end">%.0f</text>`+"\n", left-6, y(v)+4, v)
 		if v > 1 {
 			fmt.Fprintf(&b, `<text x="%.0f" y="%d" text-anchor="middle">%.0f</text>`+"\n", x(v), height-22, v)
 		}
 	}
-	fmt.Fprintf(&b, `<text x="%d" y="%d" text-anchor="middle">members</text><text x="14" y="%d" transform="rotate(-90 14 %d)" text-anchor="middle">periods until all hold the same members, median, 5%% loss</text>`+"\n",
-		(left+width-180)/2, height-6, height/2, height/2)
+	fmt.Fprintf(&b, `<text x="%d" y="%d" text-anchor="middle">members</text>`, (left+width-180)/2, height-6)
+	fmt.Fprintf(&b, `<text x="14" y="%d" transform="rotate(-90 14 %d)" text-anchor="middle">`, height/2, height/2)
+	b.WriteString("periods until all hold the same members, median, 5% loss</text>\n")
 	var names []string
 	for name := range lines {
 		names = append(names, name)
@@ -239,8 +265,10 @@
 		for _, p := range lines[name] {
 			path = append(path, fmt.Sprintf("%.1f %.1f", x(p.x), y(p.y)))
 		}
-		fmt.Fprintf(&b, `<path d="M%s" fill="none" stroke="%s" stroke-width="2"%s/><path d="M%d %dh24" stroke="%s" stroke-width="2"%s/><text x="%d" y="%d">%s</text>`+"\n",
-			strings.Join(path, "L"), colours[i%4], dash, width-170, 40+20*i, colours[i%4], dash, width-140, 44+20*i, name)
+		stroke := fmt.Sprintf(`stroke="%s" stroke-width="2"%s`, colours[i%4], dash)
+		fmt.Fprintf(&b, `<path d="M%s" fill="none" %s/>`, strings.Join(path, "L"), stroke)
+		fmt.Fprintf(&b, `<path d="M%d %dh24" %s/>`, width-170, 40+20*i, stroke)
+		fmt.Fprintf(&b, `<text x="%d" y="%d">%s</text>`+"\n", width-140, 44+20*i, name)
 	}
 	b.WriteString("</svg>\n")
 	return b.String()
--- a/internal/shared/membership/metadata_test.go
+++ b/internal/shared/membership/metadata_test.go
@@ -29,7 +29,10 @@
 }
 
 func TestMetadataIsBounded(t *testing.T) {
-	for _, facts := range []Metadata{{Role: strings.Repeat("x", maxRoleLength+1)}, {Front: strings.Repeat("x", maxFrontLength+1)}} {
+	for _, facts := range []Metadata{
+		{Role: strings.Repeat("x", maxRoleLength+1)},
+		{Front: strings.Repeat("x", maxFrontLength+1)},
+	} {
 		datagram, err := Encode(metadataMessage(facts))
 		if err != nil {
 			t.Fatal(err)
@@ -38,10 +41,21 @@
 			t.Errorf("%+v is accepted", facts)
 		}
 	}
-	longest := Metadata{Seq: 1 << 62, Zone: strings.Repeat("x", maxZoneLength), Version: strings.Repeat("x", maxVersionLength),
-		Serving: strings.Repeat("x", maxServingLength), Console: strings.Repeat("x", maxConsoleLength), SettingsHash: strings.Repeat("x", maxHashLength),
-		OperatorHash: strings.Repeat("x", maxHashLength), ExcludedHash: strings.Repeat("x", maxHashLength), OperatorAt: 1 << 31, ExcludedAt: 1 << 31,
-		Lease: 1, Role: strings.Repeat("x", maxRoleLength), Front: strings.Repeat("x", maxFrontLength)}
+	longest := Metadata{
+		Seq:          1 << 62,
+		Zone:         strings.Repeat("x", maxZoneLength),
+		Version:      strings.Repeat("x", maxVersionLength),
+		Serving:      strings.Repeat("x", maxServingLength),
+		Console:      strings.Repeat("x", maxConsoleLength),
+		SettingsHash: strings.Repeat("x", maxHashLength),
+		OperatorHash: strings.Repeat("x", maxHashLength),
+		ExcludedHash: strings.Repeat("x", maxHashLength),
+		OperatorAt:   1 << 31,
+		ExcludedAt:   1 << 31,
+		Lease:        1,
+		Role:         strings.Repeat("x", maxRoleLength),
+		Front:        strings.Repeat("x", maxFrontLength),
+	}
 	message := metadataMessage(longest)
 	alone, err := Encode(&Message{Kind: Update, Cluster: "fleet", From: message.From, Number: 1})
 	if err != nil {
@@ -58,7 +72,14 @@
 
 func TestTicksPerProbe(t *testing.T) {
 	for steps, want := range map[int]float64{0: 0.2, 2: 0.5, 10: 0.1} {
-		node := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, TicksPerProbe: steps, Generation: 1})
+		node := New(Options{
+			Cluster:       "fleet",
+			Name:          "one",
+			Addr:          netip.MustParseAddrPort("10.0.0.1:1"),
+			ProbeInterval: 1,
+			TicksPerProbe: steps,
+			Generation:    1,
+		})
 		node.Start(10)
 		at := node.NextTick()
 		node.Tick(at)
@@ -69,7 +90,13 @@
 }
 
 func TestAnnounce(t *testing.T) {
-	node := New(Options{Cluster: "fleet", Name: "one", Addr: netip.MustParseAddrPort("10.0.0.1:1"), ProbeInterval: 1, Generation: 1})
+	node := New(Options{
+		Cluster:       "fleet",
+		Name:          "one",
+		Addr:          netip.MustParseAddrPort("10.0.0.1:1"),
+		ProbeInterval: 1,
+		Generation:    1,
+	})
 	node.Start(10)
 	for i, role := range []string{"control", "edge", "control"} {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i)}), 1)
--- a/internal/shared/membership/node_test.go
+++ b/internal/shared/membership/node_test.go
@@ -18,25 +18,76 @@
 
 var (
 	testNames = []string{"a", "b", "c", "d", "me"}
-	testAddrs = []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")}
+	testAddrs = []netip.AddrPort{
+		netip.MustParseAddrPort("10.0.0.1:1"),
+		netip.MustParseAddrPort("10.0.0.2:1"),
+		netip.MustParseAddrPort("10.0.0.3:1"),
+	}
 )
 
 func drawRecord(t *rapid.T, label string) membership.Record {
-	r := membership.Record{Name: rapid.SampledFrom(testNames).Draw(t, label+" name"), Addr: rapid.SampledFrom(testAddrs).Draw(t, label+" addr"),
-		Generation: rapid.Uint64Range(1, 5).Draw(t, label+" life"), Incarnation: rapid.SampledFrom([]uint64{0, 1, 2, 3, 1<<48 - 1}).Draw(t, label+" inc"),
-		State: membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")), SuspectedBy: rapid.SampledFrom(testNames).Draw(t, label+" by")}
+	r := membership.Record{
+		Name:        rapid.SampledFrom(testNames).Draw(t, label+" name"),
+		Addr:        rapid.SampledFrom(testAddrs).Draw(t, label+" addr"),
+		Generation:  rapid.Uint64Range(1, 5).Draw(t, label+" life"),
+		Incarnation: rapid.SampledFrom([]uint64{0, 1, 2, 3, 1<<48 - 1}).Draw(t, label+" inc"),
+		State:       membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")),
+		SuspectedBy: rapid.SampledFrom(testNames).Draw(t, label+" by"),
+	}
 	if rapid.Bool().Draw(t, label+" facts") {
 		r.Metadata = &membership.Metadata{Seq: rapid.Uint64Range(0, 4).Draw(t, label+" seq"), Zone: "z"}
 	}
 	return r
 }
 
+func drawMessage(t *rapid.T) *membership.Message {
+	msg := &membership.Message{
+		Kind:         membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")),
+		Cluster:      "f",
+		From:         drawRecord(t, "from"),
+		Number:       rapid.Uint64Range(0, 200).Draw(t, "n"),
+		ViewDigest:   rapid.Uint64Range(0, 2).Draw(t, "view"),
+		Seq:          rapid.Uint64Range(0, 5).Draw(t, "question"),
+		WantsDigests: rapid.Bool().Draw(t, "return"),
+	}
+	about := drawRecord(t, "about")
+	msg.Subject = &about
+	if msg.Kind == membership.Digests {
+		msg.ShardDigests = make([]uint64, 64)
+	}
+	for range rapid.IntRange(0, 4).Draw(t, "told") {
+		msg.Records = append(msg.Records, drawRecord(t, "told"))
+	}
+	return msg
+}
+
+// newNode returns a started node named "me" of generation 3 that knows nobody.
+func newNode() *membership.Node {
+	node := membership.New(membership.Options{
+		Cluster:       "f",
+		Name:          "me",
+		Addr:          testAddrs[0],
+		ProbeInterval: 1,
+		Generation:    3,
+	})
+	node.Start(0)
+	return node
+}
+
 // TestAnyMessages plays random calls and messages: the invariants hold, what is sent fits a datagram and can be
 // decoded, and no message of another member changes this one's own state.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], Seeds: testAddrs[1:2], ProbeInterval: 1, Generation: 3, RandomSeed: 7,
-			DeadTTL: rapid.SampledFrom([]float64{60, 3600}).Draw(t, "forget")})
+		node := membership.New(membership.Options{
+			Cluster:       "f",
+			Name:          "me",
+			Addr:          testAddrs[0],
+			Seeds:         testAddrs[1:2],
+			ProbeInterval: 1,
+			Generation:    3,
+			RandomSeed:    7,
+			DeadTTL:       rapid.SampledFrom([]float64{60, 3600}).Draw(t, "forget"),
+		})
 		now := 100.0
 		node.Start(now)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -57,18 +108,7 @@
 			case 8:
 				_ = node.DeclareLeft(now, rapid.SampledFrom(testNames).Draw(t, "declared"))
 			default:
-				msg := &membership.Message{Kind: membership.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Cluster: "f", From: drawRecord(t, "from"),
-					Number: rapid.Uint64Range(0, 200).Draw(t, "n"), ViewDigest: rapid.Uint64Range(0, 2).Draw(t, "view"),
-					Seq: rapid.Uint64Range(0, 5).Draw(t, "question"), WantsDigests: rapid.Bool().Draw(t, "return")}
-				about := drawRecord(t, "about")
-				msg.Subject = &about
-				if msg.Kind == membership.Digests {
-					msg.ShardDigests = make([]uint64, 64)
-				}
-				for range rapid.IntRange(0, 4).Draw(t, "told") {
-					msg.Records = append(msg.Records, drawRecord(t, "told"))
-				}
-				node.HandleMessage(now, msg)
+				node.HandleMessage(now, drawMessage(t))
 			}
 			if wrong := node.CheckInvariants(); wrong != "" {
 				t.Fatal(wrong)
@@ -116,9 +156,32 @@
 
 func exampleMessage() *membership.Message {
 	about := membership.Record{Name: "b", Addr: testAddrs[1], Generation: 2, State: membership.Suspect, SuspectedBy: "c"}
-	return &membership.Message{Kind: membership.Ping, Cluster: "f", From: membership.Record{Name: "a", Addr: testAddrs[0], Generation: 1, Incarnation: 4}, Number: 17, ViewDigest: 1 << 63,
-		NamesDigest: 3, MetadataDigest: 4, Seq: 5, Subject: &about, Records: []membership.Record{{Name: "d", Addr: testAddrs[2], Generation: 9, State: membership.Dead, DeadFor: 1.5,
-			Metadata: &membership.Metadata{Seq: 2, Zone: "milano", Version: "v1", Serving: "serving", Console: "10.0.0.3:2"}}}}
+	dead := membership.Record{
+		Name:       "d",
+		Addr:       testAddrs[2],
+		Generation: 9,
+		State:      membership.Dead,
+		DeadFor:    1.5,
+		Metadata: &membership.Metadata{
+			Seq:     2,
+			Zone:    "milano",
+			Version: "v1",
+			Serving: "serving",
+			Console: "10.0.0.3:2",
+		},
+	}
+	return &membership.Message{
+		Kind:           membership.Ping,
+		Cluster:        "f",
+		From:           membership.Record{Name: "a", Addr: testAddrs[0], Generation: 1, Incarnation: 4},
+		Number:         17,
+		ViewDigest:     1 << 63,
+		NamesDigest:    3,
+		MetadataDigest: 4,
+		Seq:            5,
+		Subject:        &about,
+		Records:        []membership.Record{dead},
+	}
 }
 
 func TestEncodeDecode(t *testing.T) {
@@ -168,8 +231,7 @@
 		if _, err := membership.Encode(message); err != nil {
 			t.Fatalf("read, and cannot be written: %v", err)
 		}
-		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-		node.Start(0)
+		node := newNode()
 		node.HandleMessage(1, message)
 		node.Tick(2)
 		if wrong := node.CheckInvariants(); wrong != "" {
@@ -181,10 +243,10 @@
 // TestNameClaimIsVerified checks that a record of a later start under one's own name, even as if from there, is not
 // enough to withdraw: only an ack from its address is.
 func TestNameClaimIsVerified(t *testing.T) {
+	claimant := membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}
 	start := func() *membership.Node {
-		node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-		node.Start(0)
-		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: 1, From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
+		node := newNode()
+		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: 1, From: claimant})
 		return node
 	}
 	node := start()
@@ -197,8 +259,14 @@
 			asked = p.Message.Seq
 		}
 	}
-	node.HandleMessage(1.1, &membership.Message{Kind: membership.Ack, Cluster: "f", Number: 2, Seq: asked, Subject: &membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9},
-		From: membership.Record{Name: "me", Addr: testAddrs[1], Generation: 9}})
+	node.HandleMessage(1.1, &membership.Message{
+		Kind:    membership.Ack,
+		Cluster: "f",
+		Number:  2,
+		Seq:     asked,
+		Subject: &claimant,
+		From:    claimant,
+	})
 	if asked == 0 || !node.Withdrawn() {
 		t.Error("it does not withdraw before one that answers")
 	}
@@ -213,13 +281,18 @@
 
 // TestForgedNamesAreBounded checks that forged names and requests take bounded memory.
 func TestForgedNamesAreBounded(t *testing.T) {
-	node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-	node.Start(0)
+	node := newNode()
 	for i := range uint64(1000) {
-		msg := &membership.Message{Kind: membership.IndirectPing, Cluster: "f", Number: i, From: membership.Record{Name: "liar", Addr: testAddrs[1], Generation: 1},
-			Subject: &membership.Record{Name: "x", Addr: testAddrs[2], Generation: 1}}
+		msg := &membership.Message{
+			Kind:    membership.IndirectPing,
+			Cluster: "f",
+			Number:  i,
+			From:    membership.Record{Name: "liar", Addr: testAddrs[1], Generation: 1},
+			Subject: &membership.Record{Name: "x", Addr: testAddrs[2], Generation: 1},
+		}
 		for j := range 20 {
-			msg.Records = append(msg.Records, membership.Record{Name: fmt.Sprint("made up ", i, j), Addr: testAddrs[2], Generation: 1})
+			name := fmt.Sprint("made up ", i, j)
+			msg.Records = append(msg.Records, membership.Record{Name: name, Addr: testAddrs[2], Generation: 1})
 		}
 		node.HandleMessage(1, msg)
 	}
@@ -240,10 +313,10 @@
 // TestDuplicatesAndReplays checks that messages received before and messages of an earlier generation are dropped, and
 // that messages out of order by a little are not.
 func TestDuplicatesAndReplays(t *testing.T) {
-	node := membership.New(membership.Options{Cluster: "f", Name: "me", Addr: testAddrs[0], ProbeInterval: 1, Generation: 3})
-	node.Start(0)
+	node := newNode()
 	receive := func(life, n uint64) {
-		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: n, From: membership.Record{Name: "a", Addr: testAddrs[1], Generation: life}})
+		from := membership.Record{Name: "a", Addr: testAddrs[1], Generation: life}
+		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: n, From: from})
 	}
 	for _, n := range []uint64{1, 2, 5, 3, 4, 100} {
 		receive(7, n)
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -36,7 +36,8 @@
 		for _, n := range net.Nodes {
 			if n.Membership != nil {
 				aliveCount, suspectCount, deadCount := n.Membership.CountByState()
-				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v", n.Name, n.Membership.Digest(), aliveCount, suspectCount, deadCount, n.Membership.Stats)
+				t.Logf("%s: digest %x, %d alive, %d suspect, %d dead, %+v",
+					n.Name, n.Membership.Digest(), aliveCount, suspectCount, deadCount, n.Membership.Stats)
 			}
 		}
 		t.Fatalf("no converged view of %d members after %v probe intervals", alive, periods)
