--- a/internal/testkit/engine/engine.go
+++ b/internal/testkit/engine/engine.go
@@ -143,7 +143,7 @@
 	pairsPerMegapair            = 1e6
 )
 
-// Validate returns an error for options that make no engine.
+// Validate returns an error if a field is outside its range; fields that are 0 and have a default are valid.
 func (o *Options) Validate() error {
 	switch {
 	case o.MaxRunning < 1:
@@ -183,9 +183,8 @@
 	batch    []*Task // scratch: the tasks of the step that ends
 	stepping bool
 	stepEnd  time.Duration
-	sequence uint64
-	events   []Event
-	returned []Event // by the last call of Advance, reused
+	sequence uint64 // of the last task
+	events   eventLog
 	state    State
 }
 
@@ -212,7 +211,12 @@
 		return nil, false
 	}
 	e.sequence++
-	task := &Task{Request: r, GeneratedTokens: r.ResumedTokens, EventsSent: e.completeEvents(r.ResumedTokens), sequence: e.sequence}
+	task := &Task{
+		Request:         r,
+		GeneratedTokens: r.ResumedTokens,
+		EventsSent:      e.completeEvents(r.ResumedTokens),
+		sequence:        e.sequence,
+	}
 	e.waiting = insert(e.waiting, task)
 	if !e.stepping {
 		e.beginStep(now)
@@ -257,14 +261,13 @@
 // Advance implements Server.
 func (e *Engine) Advance(now time.Duration) []Event {
 	e.runSteps(now)
-	e.returned, e.events = e.events, e.returned[:0]
-	return e.returned
+	return e.events.take()
 }
 
 // Next implements Server.
 func (e *Engine) Next() (time.Duration, bool) {
-	if len(e.events) > 0 {
-		return e.events[0].At, true
+	if at, ok := e.events.first(); ok {
+		return at, true
 	}
 	return e.stepEnd, e.stepping
 }
@@ -272,13 +275,11 @@
 // Stop implements Server. The cache is lost.
 func (e *Engine) Stop(now time.Duration) []Event {
 	e.runSteps(now)
-	for _, tasks := range [][]*Task{e.running, e.waiting} {
-		for _, t := range tasks {
-			t.Ended = true
-			e.addEvent(now, Lost, t, 0)
-		}
-	}
-	e.running, e.waiting, e.stepping = nil, nil, false
+	e.events.addLost(now, e.running)
+	e.events.addLost(now, e.waiting)
+	e.running = nil
+	e.waiting = nil
+	e.stepping = false
 	e.memory = newMemory(e.options.MemoryTokens, e.options.BlockTokens)
 	return e.Advance(now)
 }
@@ -286,11 +287,10 @@
 // State implements Server.
 func (e *Engine) State() State {
 	s := e.state
-	s.Queued, s.Running = len(e.waiting), len(e.running)
-	s.MemoryPinned, s.MemoryCached, s.MemorySize = e.memory.pinned, e.memory.cached, e.memory.size
+	s.Queued = len(e.waiting)
+	s.Running = len(e.running)
+	s.MemoryPinned = e.memory.pinned
+	s.MemoryCached = e.memory.cached
+	s.MemorySize = e.memory.size
 	return s
 }
-
-func (e *Engine) addEvent(at time.Duration, kind Kind, t *Task, index int) {
-	e.events = append(e.events, Event{At: at, Kind: kind, Task: t, Index: index})
-}
--- a/internal/testkit/engine/step.go
+++ b/internal/testkit/engine/step.go
@@ -54,7 +54,7 @@
 			if t.Executed {
 				kind = TimedOut
 			}
-			e.addEvent(at, kind, t, 0)
+			e.events.add(at, kind, t, 0)
 		}
 	}
 }
@@ -134,7 +134,12 @@
 	}
 	t.admissions++
 	t.Admitted = true
-	t.progress = taskProgress{nextChunk: found, tokensToReread: t.GeneratedTokens, contextTokens: context, generationRoom: e.memory.roundUp(t.GeneratedTokens + 1)}
+	t.progress = taskProgress{
+		nextChunk:      found,
+		tokensToReread: t.GeneratedTokens,
+		contextTokens:  context,
+		generationRoom: e.memory.roundUp(t.GeneratedTokens + 1),
+	}
 	e.running = insert(e.running, t)
 }
 
@@ -145,7 +150,7 @@
 	e.waiting = insert(e.waiting, t)
 	t.Preemptions++
 	e.state.Preemptions++
-	e.addEvent(at, Preempted, t, 0)
+	e.events.add(at, Preempted, t, 0)
 }
 
 // growMemory reserves a further block for tasks whose next token needs it. Without memory, the newest task of the
@@ -172,8 +177,9 @@
 // planStep divides the prefill budget among the batch, decoding tasks first, and returns the step's duration.
 func (e *Engine) planStep() time.Duration {
 	budget := e.options.PrefillTokensPerStep
-	context, read := 0, 0
-	pairs := 0.0
+	context := 0 // tokens in the KV cache, of all tasks
+	read := 0    // prompt tokens in this step
+	pairs := 0.0 // of a token that is read and one before it
 	for _, t := range e.running {
 		context += t.progress.contextTokens
 		t.progress.stepPrefill = 0
@@ -254,7 +260,7 @@
 			return
 		}
 		e.memory.publish(t, part)
-		e.addEvent(at, ChunkPrefilled, t, t.progress.nextChunk)
+		e.events.add(at, ChunkPrefilled, t, t.progress.nextChunk)
 		t.progress.nextChunk++
 		t.progress.chunkTokensRead = 0
 	}
@@ -265,16 +271,16 @@
 func (e *Engine) generateToken(at time.Duration, t *Task) {
 	if !t.Executed {
 		t.Executed = true
-		e.addEvent(at, Started, t, 0)
+		e.events.add(at, Started, t, 0)
 	}
 	t.GeneratedTokens++
 	t.progress.contextTokens++
 	if t.GeneratedTokens%e.options.EventTokens == 0 || t.GeneratedTokens >= t.Request.OutputTokens {
 		t.EventsSent++
-		e.addEvent(at, Emitted, t, t.EventsSent)
+		e.events.add(at, Emitted, t, t.EventsSent)
 	}
 	if t.GeneratedTokens >= t.Request.OutputTokens {
 		e.removeTask(t)
-		e.addEvent(at, Finished, t, 0)
+		e.events.add(at, Finished, t, 0)
 	}
 }
--- a/internal/testkit/engine/workers.go
+++ b/internal/testkit/engine/workers.go
@@ -13,7 +13,7 @@
 	endTimes              []time.Duration // of running, same index
 	waiting               []*Task
 	sequence              uint64
-	events, returned      []Event
+	events                eventLog
 	rejected              int64
 }
 
@@ -69,14 +69,13 @@
 // Advance implements Server.
 func (w *Workers) Advance(now time.Duration) []Event {
 	w.runUntil(now)
-	w.returned, w.events = w.events, w.returned[:0]
-	return w.returned
+	return w.events.take()
 }
 
 // Next implements Server.
 func (w *Workers) Next() (time.Duration, bool) {
-	if len(w.events) > 0 {
-		return w.events[0].At, true
+	if at, ok := w.events.first(); ok {
+		return at, true
 	}
 	i := w.earliest()
 	if i < 0 {
@@ -88,13 +87,11 @@
 // Stop implements Server.
 func (w *Workers) Stop(now time.Duration) []Event {
 	w.runUntil(now)
-	for _, tasks := range [][]*Task{w.running, w.waiting} {
-		for _, t := range tasks {
-			t.Ended = true
-			w.addEvent(now, Lost, t)
-		}
-	}
-	w.running, w.endTimes, w.waiting = nil, nil, nil
+	w.events.addLost(now, w.running)
+	w.events.addLost(now, w.waiting)
+	w.running = nil
+	w.endTimes = nil
+	w.waiting = nil
 	return w.Advance(now)
 }
 
@@ -112,6 +109,7 @@
 	return w.endTimes[i]
 }
 
+// earliest returns the index of the running task that ends first; -1 if none is running.
 func (w *Workers) earliest() int {
 	first := -1
 	for i := range w.running {
@@ -135,7 +133,7 @@
 			kind = TimedOut
 		}
 		w.removeTask(t)
-		w.addEvent(at, kind, t)
+		w.events.add(at, kind, t, 0)
 		w.startWaiting(at)
 	}
 }
@@ -147,16 +145,13 @@
 		w.waiting = remove(w.waiting, t)
 		if t.Request.Deadline > 0 && t.Request.Deadline <= at {
 			t.Ended = true
-			w.addEvent(at, Expired, t)
+			w.events.add(at, Expired, t, 0)
 			continue
 		}
-		t.Admitted, t.Executed = true, true
+		t.Admitted = true
+		t.Executed = true
 		w.running = append(w.running, t)
 		w.endTimes = append(w.endTimes, at+time.Duration(float64(t.Request.Work)*w.slowdown))
-		w.addEvent(at, Started, t)
+		w.events.add(at, Started, t, 0)
 	}
 }
-
-func (w *Workers) addEvent(at time.Duration, kind Kind, t *Task) {
-	w.events = append(w.events, Event{At: at, Kind: kind, Task: t})
-}
--- a/internal/testkit/virtualcluster/network.go
+++ b/internal/testkit/virtualcluster/network.go
@@ -4,12 +4,12 @@
 package virtualcluster
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
 
 	"cinderroad/internal/shared/membership"
+	"cinderroad/internal/testkit/eventqueue"
 )
 
 // Options configure a network. Shares are between 0 and 1.
@@ -24,10 +24,15 @@
 	EncodeEvery   int     // every n-th message is encoded, and its size counted for those until the next; 0: none
 }
 
+const (
+	startTime       = 1000 // seconds; 0 would mean "never" to the nodes
+	minTickInterval = 1e-3 // seconds
+)
+
 // Network is the simulated network, its nodes and the clock.
 type Network struct {
 	Options
-	Now   float64
+	Now   float64 // seconds
 	Nodes []*Node
 	// Partitioned reports whether messages from one node to another are lost; nil: none are.
 	Partitioned func(from, to *Node) bool
@@ -39,92 +44,76 @@
 	AfterEvent func(n *Node)
 
 	random          *rand.Rand
-	events          eventHeap
-	lastSequence    uint64
+	events          eventqueue.Queue
 	nodesByAddress  map[netip.AddrPort]*Node
 	lastMessageSize float64 // bytes
 	messageCount    int
 }
 
-type event struct {
-	at        float64
-	sequence  uint64
-	node      *Node
-	message   *membership.Message // nil: a tick, or run
-	tickEpoch int
-	run       func()
-}
-
-type eventHeap []event
-
-func (e eventHeap) Len() int { return len(e) }
-
-func (e eventHeap) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
-}
-
-func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-
-func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
-
-func (e *eventHeap) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*e = old[:len(old)-1]
-	return x
-}
-
 // New creates a network of n nodes without processes.
 func New(options Options, n int) *Network {
 	if options.ProbeInterval == 0 {
 		options.ProbeInterval = 1
 	}
-	network := &Network{Options: options, Now: 1000, random: rand.New(rand.NewPCG(options.Seed, 1)), nodesByAddress: map[netip.AddrPort]*Node{}}
+	network := &Network{
+		Options:        options,
+		Now:            startTime,
+		random:         rand.New(rand.NewPCG(options.Seed, 1)),
+		nodesByAddress: map[netip.AddrPort]*Node{},
+	}
 	for i := range n {
 		network.AddNode(fmt.Sprintf("m%04d", i))
 	}
 	return network
 }
 
-func (network *Network) pushEvent(e event) {
-	network.lastSequence++
-	e.sequence = network.lastSequence
-	heap.Push(&network.events, e)
-}
-
 // Schedule calls a function at a time.
-func (network *Network) Schedule(at float64, do func()) { network.pushEvent(event{at: at, run: do}) }
+func (network *Network) Schedule(at float64, do func()) { network.events.Schedule(at, do) }
 
 // Run runs all events up to a time.
 func (network *Network) Run(until float64) {
-	for len(network.events) > 0 && network.events[0].at <= until {
-		e := heap.Pop(&network.events).(event)
-		network.Now = max(network.Now, e.at)
-		switch {
-		case e.run != nil:
-			e.run()
-			continue
-		case e.node.Membership == nil:
-			continue
-		case e.message != nil && e.node.Paused:
-			if len(e.node.buffered) < maxBuffered {
-				e.node.buffered = append(e.node.buffered, e.message)
-			}
-			continue
-		case e.message != nil:
-			e.node.Membership.HandleMessage(network.Now, e.message)
-		case e.tickEpoch != e.node.tickEpoch || e.node.Paused:
-			continue
-		default:
-			e.node.Membership.Tick(network.Now)
-			network.pushEvent(event{at: max(network.Now+1e-3, e.node.Membership.NextTick()+e.node.ProcessingDelay), node: e.node, tickEpoch: e.node.tickEpoch})
+	for {
+		at, run, ok := network.events.PopUntil(until)
+		if !ok {
+			break
 		}
-		network.collectOutput(e.node)
+		network.Now = max(network.Now, at)
+		run()
 	}
 	network.Now = until
 }
 
+// scheduleTick schedules a tick of a node's process. It has no effect if another tick is scheduled by restartTicks, or
+// the process ends, before.
+func (network *Network) scheduleTick(node *Node, at float64) {
+	epoch := node.tickEpoch
+	network.Schedule(at, func() {
+		if node.Membership != nil && !node.Paused && node.tickEpoch == epoch {
+			network.tick(node)
+		}
+	})
+}
+
+func (network *Network) tick(node *Node) {
+	node.Membership.Tick(network.Now)
+	network.scheduleTick(node, max(network.Now+minTickInterval, node.Membership.NextTick()+node.ProcessingDelay))
+	network.collectOutput(node)
+}
+
+// scheduleMessage schedules the delivery of a message to whichever process a node then has.
+func (network *Network) scheduleMessage(node *Node, message *membership.Message, at float64) {
+	network.Schedule(at, func() {
+		switch {
+		case node.Membership == nil:
+		case node.Paused:
+			node.bufferMessage(message)
+		default:
+			node.Membership.HandleMessage(network.Now, message)
+			network.collectOutput(node)
+		}
+	})
+}
+
 // RunUntil runs in steps until the condition holds; ok is false if it doesn't within limit seconds. It returns the
 // time taken in seconds.
 func (network *Network) RunUntil(limit, step float64, condition func() bool) (took float64, ok bool) {
@@ -157,27 +146,20 @@
 func (network *Network) send(from *Node, packet membership.Packet) {
 	from.Sent++
 	if network.EncodeEvery > 0 {
-		if network.messageCount%network.EncodeEvery == 0 {
-			b, err := membership.Encode(packet.Message)
-			if err != nil {
-				panic(fmt.Sprintf("seed %d: %v: %+v", network.Seed, err, packet.Message))
-			}
-			network.lastMessageSize = float64(len(b))
-		}
-		network.messageCount++
-		from.Bytes += network.lastMessageSize
+		network.countBytes(from, packet.Message)
 	}
 	to := network.nodesByAddress[packet.To]
 	if to == nil || network.Partitioned != nil && network.Partitioned(from, to) {
 		return
 	}
-	drop := network.LossRate
+	lossRate := network.LossRate
 	if network.LossRateBetween != nil {
-		drop = network.LossRateBetween(from, to)
+		lossRate = network.LossRateBetween(from, to)
 	}
-	for range 2 {
-		if drop == 0 || network.random.Float64() >= drop {
-			network.pushEvent(event{at: network.Now + network.Delay + network.Jitter*network.random.Float64() + to.ProcessingDelay, node: to, message: packet.Message})
+	for range 2 { // once, or twice if the message is duplicated
+		if lossRate == 0 || network.random.Float64() >= lossRate {
+			arrival := network.Now + network.Delay + network.Jitter*network.random.Float64()
+			network.scheduleMessage(to, packet.Message, arrival+to.ProcessingDelay)
 		}
 		if network.DuplicateRate == 0 || network.random.Float64() >= network.DuplicateRate {
 			break
@@ -185,18 +167,30 @@
 	}
 }
 
+// countBytes counts the size of a sent message, as Options.EncodeEvery says.
+func (network *Network) countBytes(from *Node, message *membership.Message) {
+	if network.messageCount%network.EncodeEvery == 0 {
+		b, err := membership.Encode(message)
+		if err != nil {
+			panic(fmt.Sprintf("seed %d: %v: %+v", network.Seed, err, message))
+		}
+		network.lastMessageSize = float64(len(b))
+	}
+	network.messageCount++
+	from.Bytes += network.lastMessageSize
+}
+
 // Converged reports whether all running nodes have the same membership digest, and how many members are alive in it.
-func (network *Network) Converged() (one bool, alive int) {
-	var digest uint64
-	first := true
-	for _, n := range network.Nodes {
-		if n.Membership == nil || n.Paused || n.Membership.Withdrawn() {
+func (network *Network) Converged() (converged bool, alive int) {
+	var first *membership.Node
+	for _, node := range network.Nodes {
+		if node.Membership == nil || node.Paused || node.Membership.Withdrawn() {
 			continue
 		}
-		a, _, _ := n.Membership.CountByState()
-		if first {
-			digest, alive, first = n.Membership.Digest(), a, false
-		} else if n.Membership.Digest() != digest {
+		if first == nil {
+			first = node.Membership
+			alive, _, _ = first.CountByState()
+		} else if node.Membership.Digest() != first.Digest() {
 			return false, alive
 		}
 	}
--- a/internal/testkit/virtualcluster/node.go
+++ b/internal/testkit/virtualcluster/node.go
@@ -6,6 +6,12 @@
 	"cinderroad/internal/shared/membership"
 )
 
+const (
+	maxBuffered           = 200 // messages that a paused node's socket buffers
+	nodePort              = 7946
+	microsecondsPerSecond = 1e6
+)
+
 // Node is a node of the network, whose process may be paused, killed and restarted.
 type Node struct {
 	Name            string
@@ -17,8 +23,8 @@
 	Sent            int
 	Bytes           float64
 	Changes         []Change
-	tickEpoch       int // invalidates scheduled ticks
-	buffered        []*membership.Message
+	tickEpoch       int                   // ticks that were scheduled in an earlier one have no effect
+	buffered        []*membership.Message // while paused
 }
 
 // Change is a membership change that a node observed, and when.
@@ -30,7 +36,8 @@
 // AddNode adds a node without a process.
 func (network *Network) AddNode(name string) *Node {
 	i := len(network.Nodes)
-	node := &Node{Name: name, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)}
+	ip := netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)})
+	node := &Node{Name: name, Addr: netip.AddrPortFrom(ip, nodePort)}
 	network.Nodes = append(network.Nodes, node)
 	network.nodesByAddress[node.Addr] = node
 	return node
@@ -38,20 +45,28 @@
 
 // Start starts a process at a node, which joins through the seeds.
 func (network *Network) Start(node *Node, seeds ...*Node) {
-	o := membership.Options{Cluster: "virtual", Name: node.Name, Addr: node.Addr, ProbeInterval: network.ProbeInterval, Generation: uint64((network.Now + node.ClockSkew) * 1e6),
-		RandomSeed: network.random.Uint64(), PlainSWIM: network.PlainSWIM, Metadata: membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"}}
+	options := membership.Options{
+		Cluster:       "virtual",
+		Name:          node.Name,
+		Addr:          node.Addr,
+		ProbeInterval: network.ProbeInterval,
+		Generation:    uint64((network.Now + node.ClockSkew) * microsecondsPerSecond),
+		RandomSeed:    network.random.Uint64(),
+		PlainSWIM:     network.PlainSWIM,
+		Metadata:      membership.Metadata{Zone: "z", Version: "v1", Serving: "serving"},
+	}
 	if network.NewDelegate != nil {
-		o.Delegate = network.NewDelegate(node)
+		options.Delegate = network.NewDelegate(node)
 	}
-	for _, s := range seeds {
-		o.Seeds = append(o.Seeds, s.Addr)
+	for _, seed := range seeds {
+		options.Seeds = append(options.Seeds, seed.Addr)
 	}
-	node.Membership = membership.New(o)
-	node.Paused, node.buffered = false, nil
-	node.tickEpoch++
+	node.Membership = membership.New(options)
+	node.Paused = false
+	node.buffered = nil
 	node.Membership.Start(network.Now)
 	network.collectOutput(node)
-	network.scheduleTick(node)
+	network.restartTicks(node)
 }
 
 // StartAll starts processes at all nodes at random times within a duration, with the first node as seed.
@@ -64,7 +79,8 @@
 
 // Kill ends the process without notice to the others.
 func (network *Network) Kill(node *Node) {
-	node.Membership, node.buffered = nil, nil
+	node.Membership = nil
+	node.buffered = nil
 	node.tickEpoch++
 }
 
@@ -74,18 +90,23 @@
 // Resume continues a paused process.
 func (network *Network) Resume(node *Node) {
 	node.Paused = false
-	held := node.buffered
+	buffered := node.buffered
 	node.buffered = nil
-	for _, msg := range held {
-		network.pushEvent(event{at: network.Now, node: node, message: msg, tickEpoch: node.tickEpoch})
+	for _, message := range buffered {
+		network.scheduleMessage(node, message, network.Now)
 	}
-	network.scheduleTick(node)
+	network.restartTicks(node)
 }
 
-func (network *Network) scheduleTick(node *Node) {
+// restartTicks schedules the next tick, and invalidates those scheduled before.
+func (network *Network) restartTicks(node *Node) {
 	node.tickEpoch++
-	network.pushEvent(event{at: max(network.Now, node.Membership.NextTick()+node.ProcessingDelay), node: node, tickEpoch: node.tickEpoch})
+	network.scheduleTick(node, max(network.Now, node.Membership.NextTick()+node.ProcessingDelay))
 }
 
-// maxBuffered is the number of messages that a paused node's socket buffers.
-const maxBuffered = 200
+// bufferMessage keeps a message for when the process continues, as its socket would: what does not fit is lost.
+func (node *Node) bufferMessage(message *membership.Message) {
+	if len(node.buffered) < maxBuffered {
+		node.buffered = append(node.buffered, message)
+	}
+}
