--- a/internal/system/agent/overlay/tables_test.go
+++ b/internal/system/agent/overlay/tables_test.go
@@ -6,8 +6,6 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"cinderroad/internal/system/discovery"
 	"cinderroad/internal/system/feed"
 )
@@ -61,9 +59,12 @@
 	}
 }
 
-func (s *simulation) remove(id string) {
+// remove removes a runner of the usual service at the control replicas.
+func (s *simulation) remove(id string) { s.removeRunner(runner(id)) }
+
+func (s *simulation) removeRunner(r discovery.Runner) {
 	s.index++
-	s.control[partitionOf(runner(id))].Delete(s.now, s.index, feed.KeyPrefixRunner+id)
+	s.control[partitionOf(r)].Delete(s.now, s.index, feed.KeyPrefixRunner+r.ID)
 }
 
 func (s *simulation) configure(version string) {
@@ -81,12 +82,16 @@
 // updateProxy has the proxy follow the agent.
 func (s *simulation) updateProxy() {
 	s.t.Helper()
-	for i, table := range s.proxy {
-		s.agent.Reconcile(s.now, table.Position())
-		served := s.agent.Served(feed.Partition(i))
-		if served.LastChangeIndex() <= table.Index() {
-			continue
-		}
+	for partition := range s.proxy {
+		s.updateProxyPartition(feed.Partition(partition))
+	}
+}
+
+func (s *simulation) updateProxyPartition(partition feed.Partition) {
+	table := s.proxy[partition]
+	s.agent.Reconcile(s.now, table.Position())
+	served := s.agent.Served(partition)
+	if served.LastChangeIndex() > table.Index() {
 		table.Apply(s.now, served.BatchSince(s.now, table.Index(), 0))
 	}
 }
@@ -341,117 +346,3 @@
 		t.Errorf("%d runners are remembered", len(d.lastSeen))
 	}
 }
-
-// TestProxyConvergesToServedTables plays random changes, lists, lags and restarts.
-func TestProxyConvergesToServedTables(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		sim := newSimulation(t)
-		drained := map[string]bool{} // as the agent has served them since its last restart
-		ids := []string{"a", "b", "c", "d", "e", "f"}
-		services := []string{"one", "two", "three"}
-		draw := func(label string) discovery.Runner {
-			n := rapid.IntRange(0, len(ids)-1).Draw(t, label)
-			r := runner(ids[n])
-			r.Service = services[n%len(services)]
-			r.Draining = rapid.Bool().Draw(t, label+" drains")
-			return r
-		}
-		remove := func(r discovery.Runner) {
-			sim.index++
-			sim.control[partitionOf(r)].Delete(sim.now, sim.index, feed.KeyPrefixRunner+r.ID)
-		}
-		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			sim.now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 7).Draw(t, "what") {
-			case 0, 1:
-				sim.put(draw("put"))
-			case 2:
-				remove(draw("remove"))
-			case 3, 4:
-				sim.updateAgent()
-			case 5:
-				var list []discovery.Runner
-				seen := map[string]bool{}
-				for range rapid.IntRange(0, len(ids)).Draw(t, "listed") {
-					if r := draw("listed"); !seen[r.ID] {
-						seen[r.ID] = true
-						list = append(list, r)
-					}
-				}
-				sim.agent.ApplyList(sim.now, list, allPartitions)
-			case 6:
-				sim.agent.DropList(sim.now, allPartitions)
-			case 7:
-				if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-					sim.agent = New(partitions)
-					clear(drained)
-				}
-			}
-			for i := range sim.proxy {
-				was := sim.proxy[i].Index()
-				sim.updateProxyPartition(feed.Partition(i))
-				if sim.proxy[i].Index() < was {
-					t.Fatalf("the proxy went back from %d to %d", was, sim.proxy[i].Index())
-				}
-				sim.compare(feed.Partition(i))
-			}
-			for i := range sim.proxy {
-				for _, value := range sim.agent.Served(feed.Partition(i)).Values(feed.KeyPrefixRunner) {
-					r, err := discovery.DecodeRunner(value)
-					if err != nil {
-						t.Fatal(err)
-					}
-					if drained[r.ID] && !r.Draining {
-						t.Fatalf("%s drained and serves again", r.ID)
-					}
-					drained[r.ID] = drained[r.ID] || r.Draining
-				}
-			}
-		}
-	})
-}
-
-func (s *simulation) updateProxyPartition(partition feed.Partition) {
-	table := s.proxy[partition]
-	s.agent.Reconcile(s.now, table.Position())
-	served := s.agent.Served(partition)
-	if served.LastChangeIndex() > table.Index() {
-		table.Apply(s.now, served.BatchSince(s.now, table.Index(), 0))
-	}
-}
-
-// compare fails if the proxy holds other items than are served, unless it is ahead of an agent that lags.
-func (s *simulation) compare(partition feed.Partition) {
-	s.t.Helper()
-	served, held := s.agent.Served(partition), s.proxy[partition]
-	if held.Index() > served.Index() {
-		if held.Index()>>LocalIndexBits == served.Index()>>LocalIndexBits {
-			s.t.Fatalf("partition %d: the proxy is ahead at %x of %x and is not met", partition, held.Index(), served.Index())
-		}
-		return
-	}
-	if served.Len() != held.Len() {
-		s.t.Fatalf("partition %d: %d items are served, the proxy holds %d", partition, served.Len(), held.Len())
-	}
-	for item := range served.Items(s.now, "") {
-		value, known := held.Get(item.Key)
-		if known && drainedEarlier(value, item.Value) {
-			continue
-		}
-		if !known || string(value) != string(item.Value) {
-			s.t.Fatalf("partition %d: the proxy does not hold %s as it is served", partition, item.Key)
-		}
-	}
-}
-
-// drainedEarlier reports whether the proxy holds a runner as draining that the agent knew to be draining before a
-// restart, and does not now.
-func drainedEarlier(held, served []byte) bool {
-	a, errA := discovery.DecodeRunner(held)
-	b, errB := discovery.DecodeRunner(served)
-	if errA != nil || errB != nil || !a.Draining {
-		return false
-	}
-	b.Draining = true
-	return string(discovery.EncodeRunner(b)) == string(held)
-}
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -52,124 +52,15 @@
 }
 
 func testRequest(now time.Duration, service string, route *configuration.Route) *Request {
-	return &Request{Route: route, Service: service, Model: "base", ArrivedAt: now, Deadline: now + time.Second, InputTokens: 100,
-		MaxOutputTokens: 50, Chunks: []Chunk{{1, 60}, {2, 40}}}
-}
-
-// exclusions are the rules that exclude runners, a table; each function makes its rule apply to all of them.
-func exclusions() map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-	all := func(change func(runner *Runner)) func(*Placer, []Runner, *Request, time.Duration) {
-		return func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for i := range runners {
-				change(&runners[i])
-			}
-			p.SetRunners(now, runners)
-		}
-	}
-	return map[string]func(p *Placer, runners []Runner, r *Request, now time.Duration){
-		"draining":            all(func(runner *Runner) { runner.Draining = true }),
-		"draining, with time": all(func(runner *Runner) { runner.Draining, runner.TerminatesAt = true, testStart+time.Hour }),
-		"terminates too soon": all(func(runner *Runner) { runner.TerminatesAt = testStart + 100*time.Millisecond }),
-		"other models":        all(func(runner *Runner) { runner.Models = []string{"other"} }),
-		"other service":       all(func(runner *Runner) { runner.Service = "other" }),
-		"not listed": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			p.SetRunners(now, nil)
-		},
-		"evacuated": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			zones := map[string]bool{}
-			for _, runner := range runners {
-				zones[runner.Zone] = true
-			}
-			p.SetEvacuatedZones(now, zones)
-		},
-		"outside the home regions": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			route := *r.Route
-			route.HomeRegions = []string{"elsewhere"}
-			r.Route = &route
-		},
-		"slow start, over its share": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for i := range runners {
-				runners[i].SlowStartUntil = now + time.Minute
-			}
-			p.SetRunners(now, runners)
-			for _, runner := range runners {
-				p.StartAttempt(now, testRequest(now, runner.Service, r.Route), Choice{Runner: runner.ID})
-			}
-		},
-		"slow start, unknown number of proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for i := range runners {
-				runners[i].SlowStartUntil = now + time.Minute
-			}
-			p.SetRunners(now, runners)
-			p.proxyCount = 0
-		},
-		"slow start, this proxy has just started": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for i := range runners {
-				runners[i].SlowStartUntil = now + time.Minute
-			}
-			p.SetRunners(now, runners)
-			p.countedFrom = now + time.Millisecond
-		},
-		"slow start, the share belongs to other proxies": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for i := range runners {
-				runners[i].SlowStartUntil = now + time.Minute
-			}
-			p.SetRunners(now, runners)
-			p.SetProxyCount(now, 300)
-		},
-		"no connection left": func(p *Placer, runners []Runner, r *Request, now time.Duration) {
-			for _, runner := range runners {
-				for range p.connectionLimit(p.runners[runner.ID]) {
-					p.StartAttempt(now, testRequest(now, runner.Service, r.Route), Choice{Runner: runner.ID})
-				}
-			}
-		},
-	}
-}
-
-// A rule that excludes all runners holds on the ordinary path, on the fallback to the runner least over its limit, and on
-// retries that have no other runner left.
-func TestEligibilityHoldsOnEveryPath(t *testing.T) {
-	for _, service := range []string{"api", "llm"} {
-		for name, exclude := range exclusions() {
-			t.Run(service+", "+name, func(t *testing.T) { testEligibility(t, service, exclude) })
-		}
-	}
-}
-
-func testEligibility(t *testing.T, service string, exclude func(p *Placer, runners []Runner, r *Request, now time.Duration)) {
-	t.Helper()
-	for path, prepare := range map[string]func(p *Placer, r *Request){
-		"ordinary": func(p *Placer, r *Request) {},
-		"fallback": func(p *Placer, r *Request) { overload(p, 1000) },
-		"ejected and saturated": func(p *Placer, r *Request) {
-			for _, runner := range p.runners {
-				runner.ejection.EjectedUntil = (testStart + time.Hour).Seconds()
-				runner.saturatedUntil = testStart + time.Hour
-			}
-		},
-		"retry": func(p *Placer, r *Request) {
-			r.TriedRunners = []string{service + "-1"}
-			p.services[service].retryBudget.record(testStart, p.options.RetryWindow, false)
-		},
-		"all but one tried": func(p *Placer, r *Request) { r.TriedRunners = []string{service + "-1", service + "-2"} },
-	} {
-		now := testStart
-		runners := testRunners(service, 3)
-		p := startedTestPlacer(t, runners)
-		r := testRequest(now, service, testRoute())
-		prepare(p, r)
-		if c, rejection := p.Place(now, r); rejection != nil || c.Runner == "" {
-			t.Fatalf("%s: no runner is eligible from the start: %v", path, rejection)
-		}
-		exclude(p, runners, r, now)
-		c, rejection := p.Place(now, r)
-		if rejection == nil {
-			t.Fatalf("%s: sent to %s", path, c.Runner)
-		}
-		if rejection.RetryAfter <= 0 || rejection.RetryAfter > time.Second || rejection.Reason == "" {
-			t.Errorf("%s: rejection %+v", path, rejection)
-		}
+	return &Request{
+		Route:           route,
+		Service:         service,
+		Model:           "base",
+		ArrivedAt:       now,
+		Deadline:        now + time.Second,
+		InputTokens:     100,
+		MaxOutputTokens: 50,
+		Chunks:          []Chunk{{1, 60}, {2, 40}},
 	}
 }
 
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -69,8 +69,12 @@
 			return
 		}
 		id := request.Header.Get(headerTryID)
-		answer, keep := log.drawResponse(id, previous, strings.HasPrefix(request.URL.Path, "/resumable/"), request.Header.Get(headerLastEventID),
-			random)
+		answer, keep := log.drawResponse(random, &chaosRequest{
+			id:          id,
+			previous:    previous,
+			isStream:    strings.HasPrefix(request.URL.Path, "/resumable/"),
+			lastEventID: request.Header.Get(headerLastEventID),
+		})
 		for len(answer) > 0 {
 			n := min(1+random.IntN(200), len(answer))
 			if _, err := io.WriteString(conn, answer[:n]); err != nil {
@@ -88,22 +92,45 @@
 	}
 }
 
-// drawResponse chooses what a runner does with a request that it has read.
-func (log *executionLog) drawResponse(id, previous string, stream bool, last string, random *rand.Rand) (text string, keep bool) {
-	switch random.IntN(28) { // rejections in a row exhaust some requests' attempts: about thirty requests of a run end as rejected
+// chaosRequest is a request that a faulty runner has read.
+type chaosRequest struct {
+	id          string
+	previous    string // id of the request before on the connection; empty: it is the first
+	isStream    bool
+	lastEventID string // of a stream to continue
+}
+
+// drawResponse chooses what a runner does with a request; keep says whether it keeps the connection.
+func (log *executionLog) drawResponse(random *rand.Rand, request *chaosRequest) (text string, keep bool) {
+	if rejection := drawRejection(random, request.id); rejection != "" {
+		return rejection, true
+	}
+	log.add(request.id)
+	return drawExecutedResponse(random, request)
+}
+
+// drawRejection chooses a response that says that the request was not executed; empty: the runner executes it.
+// Rejections in a row exhaust some requests' attempts: about thirty requests of a run end as rejected.
+func drawRejection(random *rand.Rand, id string) string {
+	switch random.IntN(28) {
 	case 0, 1, 2, 3:
-		return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
+		return "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n"
 	case 4, 5:
-		return "HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc", true
+		return "HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: " + id + "\r\nContent-Length: 3\r\n\r\nabc"
 	case 6, 7:
-		return "HTTP/1.1 421 No\r\nX-Server-Id: x\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n", true
+		return "HTTP/1.1 421 No\r\nX-Server-Id: x\r\nX-Try-Id: " + id + "\r\nContent-Length: 0\r\n\r\n"
 	case 8, 9: // without an id, the response can only be matched to a connection's first request
-		return notRunWithoutID, true
+		return notRunWithoutID
 	}
-	log.add(id)
+	return ""
+}
+
+// drawExecutedResponse chooses a response to a request that was executed, most often the correct one.
+func drawExecutedResponse(random *rand.Rand, request *chaosRequest) (text string, keep bool) {
+	id := request.id
 	whole := successText(id, bodyOf(id))
-	if stream {
-		whole = eventStreamAfter(id, last)
+	if request.isStream {
+		whole = eventStreamAfter(id, request.lastEventID)
 	}
 	switch random.IntN(16) {
 	case 0:
@@ -121,8 +148,8 @@
 	case 6:
 		return whole + "garbage", true
 	case 7:
-		if previous != "" {
-			return successText(previous, "late") + whole, true
+		if request.previous != "" {
+			return successText(request.previous, "late") + whole, true
 		}
 	case 8:
 		return successText("other", bodyOf("other")), true
--- a/internal/system/proxy/retry_test.go
+++ b/internal/system/proxy/retry_test.go
@@ -10,84 +10,99 @@
 	"cinderroad/internal/system/placement"
 )
 
+// retryCase is what a first runner does with a request, and what becomes of the request.
+type retryCase struct {
+	name    string
+	path    string
+	first   func(p *testConn) // what the first runner does after reading the request
+	outcome string            // of the attempt, as the placer learns it
+	// status is the client's, if no second runner gets the request; retried: one does.
+	status int
+}
+
+// retried is the status of a retryCase whose request a second runner gets.
+const retried = 0
+
+// Responses of a first runner.
+const (
+	notRunWithFailureStatus = "HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: t1\r\nContent-Length: 0\r\n\r\n"
+	misdirectedResponse     = "HTTP/1.1 421 Misdirected Request\r\nX-Server-Id: z\r\nContent-Length: 0\r\n\r\n"
+	responseWithoutID       = "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 1\r\n\r\nx"
+	responseWithoutSeal     = "HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nContent-Length: 1\r\n\r\nx"
+	failedResponse          = "HTTP/1.1 500 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops"
+	unavailableResponse     = "HTTP/1.1 503 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops"
+	clientErrorResponse     = "HTTP/1.1 422 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops"
+)
+
+// sends returns what a runner does that sends a text.
+func sends(text string) func(p *testConn) { return func(p *testConn) { p.send(text) } }
+
+func closes(p *testConn) { p.conn.Close() }
+
 // Whether a second runner gets the request, by route and by what the first one did.
 func TestRetryOnAnotherRunner(t *testing.T) {
-	for _, tc := range []struct {
-		name, path string
-		first      func(p *testConn) // what the first runner does after reading the request
-		outcome    string
-		second     bool // the second runner gets the request
-		status     int  // for the client, without a second runner
-	}{
-		{"not run, read only", "/reads/x", func(p *testConn) { p.send(notRunWithoutID) }, "a not run", true, 0},
-		{"not run, writes", "/writes/x", func(p *testConn) { p.send(notRunWithoutID) }, "a not run", true, 0},
-		{"not run, with the status of a failure", "/writes/x", func(p *testConn) {
-			p.send("HTTP/1.1 429 Busy\r\nX-Not-Run: 1\r\nX-Try-Id: t1\r\nContent-Length: 0\r\n\r\n")
-		}, "a not run", true, 0},
-		{"another incarnation, writes", "/writes/x", func(p *testConn) {
-			p.send("HTTP/1.1 421 Misdirected Request\r\nX-Server-Id: z\r\nContent-Length: 0\r\n\r\n")
-		}, "a wrong runner", true, 0},
-		{"closed, read only", "/reads/x", func(p *testConn) { p.conn.Close() }, "a broken", true, 0},
-		{"closed, writes", "/writes/x", func(p *testConn) { p.conn.Close() }, "a broken", false, 502},
-		{"reset, read only", "/reads/x", func(p *testConn) { p.reset() }, "a broken", true, 0},
-		{"reset, writes", "/writes/x", func(p *testConn) { p.reset() }, "a broken", false, 502},
-		{"reset, stream", "/stream/x", func(p *testConn) { p.reset() }, "a broken", false, 502},
-		{"reset, resumable stream", "/resumable/x", func(p *testConn) { p.reset() }, "a broken", true, 0},
-		{"invalid bytes, read only", "/reads/x", func(p *testConn) { p.send("\x00\x01garbage") }, "a broken", true, 0},
-		{"invalid bytes, writes", "/writes/x", func(p *testConn) { p.send("HTTP/9 x\r\n\r\n") }, "a broken", false, 502},
-		{"another request's response, read only", "/reads/x", func(p *testConn) { p.send(successText("other", "x")) }, "a broken",
-			true, 0},
-		{"another request's response, writes", "/writes/x", func(p *testConn) { p.send(successText("other", "x")) }, "a broken",
-			false, 502},
-		{"no id, read only", "/reads/x", func(p *testConn) {
-			p.send("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 1\r\n\r\nx")
-		}, "a broken", true, 0},
-		{"no seal, read only", "/reads/x", func(p *testConn) {
-			p.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nContent-Length: 1\r\n\r\nx")
-		}, "a broken", true, 0},
-		{"no seal, writes", "/writes/x", func(p *testConn) {
-			p.send("HTTP/1.1 200 OK\r\nX-Try-Id: t1\r\nContent-Length: 1\r\n\r\nx")
-		}, "a broken", false, 502},
-		{"failure of the runner, read only", "/reads/x", func(p *testConn) {
-			p.send("HTTP/1.1 500 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
-		}, "a failed", true, 0},
-		{"failure of the runner, writes", "/writes/x", func(p *testConn) {
-			p.send("HTTP/1.1 500 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
-		}, "a failed", false, 500},
-		{"503 without X-Not-Run, writes", "/writes/x", func(p *testConn) {
-			p.send("HTTP/1.1 503 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
-		}, "a failed", false, 502},
-		{"client error, writes", "/writes/x", func(p *testConn) {
-			p.send("HTTP/1.1 422 Oops\r\nX-Try-Id: t1\r\nContent-Length: 4\r\n\r\noops")
-		}, "a served", false, 422},
+	for _, cases := range [][]retryCase{
+		{ // the runner guarantees that the request was not executed
+			{"not run, read only", "/reads/x", sends(notRunWithoutID), "a not run", retried},
+			{"not run, writes", "/writes/x", sends(notRunWithoutID), "a not run", retried},
+			{"not run, with the status of a failure", "/writes/x", sends(notRunWithFailureStatus), "a not run", retried},
+			{"another incarnation, writes", "/writes/x", sends(misdirectedResponse), "a wrong runner", retried},
+		},
+		{ // the connection is lost
+			{"closed, read only", "/reads/x", closes, "a broken", retried},
+			{"closed, writes", "/writes/x", closes, "a broken", 502},
+			{"reset, read only", "/reads/x", (*testConn).reset, "a broken", retried},
+			{"reset, writes", "/writes/x", (*testConn).reset, "a broken", 502},
+			{"reset, stream", "/stream/x", (*testConn).reset, "a broken", 502},
+			{"reset, resumable stream", "/resumable/x", (*testConn).reset, "a broken", retried},
+		},
+		{ // the bytes are no response that may be forwarded
+			{"invalid bytes, read only", "/reads/x", sends("\x00\x01garbage"), "a broken", retried},
+			{"invalid bytes, writes", "/writes/x", sends("HTTP/9 x\r\n\r\n"), "a broken", 502},
+			{"another request's response, read only", "/reads/x", sends(successText("other", "x")), "a broken", retried},
+			{"another request's response, writes", "/writes/x", sends(successText("other", "x")), "a broken", 502},
+			{"no id, read only", "/reads/x", sends(responseWithoutID), "a broken", retried},
+			{"no seal, read only", "/reads/x", sends(responseWithoutSeal), "a broken", retried},
+			{"no seal, writes", "/writes/x", sends(responseWithoutSeal), "a broken", 502},
+		},
+		{ // the runner responds with an error
+			{"failure of the runner, read only", "/reads/x", sends(failedResponse), "a failed", retried},
+			{"failure of the runner, writes", "/writes/x", sends(failedResponse), "a failed", 500},
+			{"503 without X-Not-Run, writes", "/writes/x", sends(unavailableResponse), "a failed", 502},
+			{"client error, writes", "/writes/x", sends(clientErrorResponse), "a served", 422},
+		},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t)
-			runners := h.startRunners("a", "b")
-			client := h.connect()
-			client.send(requestText(tc.path, "t1", "", "body"))
-			first := runners[0].accept()
-			if _, body := first.readRequest(); body != "body" {
-				t.Errorf("first runner got %q", body)
-			}
-			tc.first(first)
-			h.expectOutcomes(tc.outcome)
-			if !tc.second {
-				client.expectResponse(tc.status, "")
-				return
-			}
-			second := runners[1].accept()
-			request, body := second.readRequest()
-			if body != "body" || request.Header.Get("X-Wanted-Server") != "b" || request.Header.Get("X-Try-Id") != "t1" {
-				t.Errorf("second runner got %v %q", request.Header, body)
-			}
-			second.send(successText("t1", "whole"))
-			client.expectResponse(200, "whole")
-			h.expectOutcomes("b served")
-		})
+		for _, tc := range cases {
+			t.Run(tc.name, func(t *testing.T) { tc.run(t) })
+		}
 	}
 }
 
+func (tc *retryCase) run(t *testing.T) {
+	h := newHarness(t)
+	runners := h.startRunners("a", "b")
+	client := h.connect()
+	client.send(requestText(tc.path, "t1", "", "body"))
+	first := runners[0].accept()
+	if _, body := first.readRequest(); body != "body" {
+		t.Errorf("first runner got %q", body)
+	}
+	tc.first(first)
+	h.expectOutcomes(tc.outcome)
+	if tc.status != retried {
+		client.expectResponse(tc.status, "")
+		return
+	}
+	second := runners[1].accept()
+	request, body := second.readRequest()
+	if body != "body" || request.Header.Get("X-Wanted-Server") != "b" || request.Header.Get("X-Try-Id") != "t1" {
+		t.Errorf("second runner got %v %q", request.Header, body)
+	}
+	second.send(successText("t1", "whole"))
+	client.expectResponse(200, "whole")
+	h.expectOutcomes("b served")
+}
+
 // Guards against a retry that the placer's budget does not allow, and against a rejection once the request may have
 // run.
 func TestResponseWithoutRetry(t *testing.T) {
--- a/internal/system/proxy/simulation_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -102,6 +102,10 @@
 	c.remove()
 }
 
+func (c *simulatedRunnerConn) closeConn() { c.closeWith(c.end.close) }
+
+func (c *simulatedRunnerConn) resetConn() { c.closeWith(c.end.abort) }
+
 func (c *simulatedRunnerConn) remove() {
 	c.generation++
 	c.request = nil
@@ -124,7 +128,7 @@
 			if c.received[:n] != c.pendingBody[:n] {
 				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is expected",
 					c.runner.id, c.received, c.pendingBody, c.request.id)
-				c.closeWith(c.end.abort)
+				c.resetConn()
 				return
 			}
 			c.received = c.received[n:]
@@ -134,7 +138,7 @@
 			}
 		case c.request != nil:
 			c.runner.sim.checker.violation("UNASKED", "%s gets %.60q while it executes %s", c.runner.id, c.received, c.request.id)
-			c.closeWith(c.end.abort)
+			c.resetConn()
 		default:
 			if !c.readHead() {
 				return
@@ -153,7 +157,7 @@
 	c.received = c.received[got.bytes:]
 	request := sim.checker.requestArrived(c, got)
 	if request == nil {
-		c.closeWith(c.end.abort)
+		c.resetConn()
 		return true
 	}
 	length, _ := strconv.Atoi(got.header.Get("Content-Length"))
@@ -173,7 +177,7 @@
 		return true
 	}
 	if sim.chance(40) {
-		c.closeWith(c.end.abort) // before the request is complete
+		c.resetConn() // before the request is complete
 		return true
 	}
 	head := *got
@@ -207,7 +211,7 @@
 		step := c.generation
 		c.runner.sim.network.after(c.runner.sim.randomDuration(400*time.Millisecond), func() {
 			if c.generation == step && c.request == nil {
-				c.closeWith(c.end.close)
+				c.closeConn()
 			}
 		})
 	}
@@ -229,7 +233,7 @@
 	switch sim.random.IntN(5) {
 	case 0:
 		c.end.send(text)
-		c.closeWith(c.end.abort)
+		c.resetConn()
 	case 1:
 		c.request.faulted = true
 		c.end.send("\x00\x01 spoilt")
@@ -356,84 +360,102 @@
 	})
 }
 
-// drawResponse chooses a response to what was executed. It is one switch over the kinds of responses.
+// drawResponse chooses a response to what was executed.
 func (c *simulatedRunnerConn) drawResponse(made *execution, got *parsedHead) {
-	sim, request := c.runner.sim, c.request
+	request := c.request
 	made.status = 200
 	made.body = bodyOf(request.id)
 	text := sealedResponse(made, "", lengthDelimited(made))
 	if request.kind == "stream" || request.kind == "resumable" {
 		text = c.stream(made, got)
 	}
-	closes := func() { c.closeWith(c.end.close) }
-	resets := func() { c.closeWith(c.end.abort) }
-	switch sim.random.IntN(22) {
+	switch c.runner.sim.random.IntN(22) {
 	case 0:
-		resets()
+		c.resetConn()
 	case 1:
-		closes()
+		c.closeConn()
 	case 2:
-		made.status = 500
-		made.body = "oops"
-		request.faulted = true
-		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
+		c.sendFailure(made, 500, "oops")
 	case 3:
-		made.status = 503
-		made.body = "oops"
-		request.faulted = true
-		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
+		c.sendFailure(made, 503, "oops")
 	case 4:
 		request.faulted = true
 		c.sendPieces("\x01\x02 no answer", c.makeIdle)
 	case 5:
-		c.sendPieces(text[:sim.random.IntN(len(text))], resets)
+		c.sendCutShort(text, c.resetConn)
 	case 6:
-		c.sendPieces(text[:sim.random.IntN(len(text))], closes)
+		c.sendCutShort(text, c.closeConn)
 	case 7:
 		c.sendWithExtraBytes(text, successText(request.id, "unasked"))
 	case 8:
 		c.sendWithExtraBytes(text, "garbage")
 	case 9:
-		if c.previousID != "" {
-			text = successText(c.previousID, "late") + text
-		}
-		c.sendPieces(text, c.makeIdle)
+		c.sendAfterLateResponse(text)
 	case 10:
 		request.faulted = true
 		c.sendPieces(successText("other", "answer"), c.makeIdle)
 	case 11:
-		c.sendPieces(strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1), closes)
+		c.sendPieces(strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1), c.closeConn)
 	case 12:
 		c.sendPieces("HTTP/1.1 100 Continue\r\n\r\n"+text, c.makeIdle)
 	case 13:
-		if request.kind == "reads" || request.kind == "writes" {
-			text = sealedResponse(made, "", "\r\n"+made.body)
-			if sim.chance(2) {
-				c.sendPieces(text[:sim.random.IntN(len(text))], resets)
-				return
-			}
-		}
-		c.sendPieces(text, closes)
+		c.sendDelimitedByClose(made, text)
 	case 14:
-		c.sendPieces(text, func() {
-			c.makeIdle()
-			c.mayBeStale = true // the extra response may meet any later request
-			sim.network.after(sim.randomDuration(200*time.Millisecond), func() {
-				if !c.replying {
-					c.end.send(c.drawLateExtra(request))
-				}
-			})
-		})
+		c.sendWithLateExtra(text)
 	case 15:
-		made.status = 504
-		made.body = "late"
-		request.faulted = true
-		c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
+		c.sendFailure(made, 504, "late")
 	default:
 		c.sendPieces(text, c.makeIdle)
 	}
 }
 
+// sendFailure sends a complete response of a runner that failed.
+func (c *simulatedRunnerConn) sendFailure(made *execution, status int, body string) {
+	made.status = status
+	made.body = body
+	c.request.faulted = true
+	c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
+}
+
+// sendCutShort sends a random part of a response and continues with then.
+func (c *simulatedRunnerConn) sendCutShort(text string, then func()) {
+	c.sendPieces(text[:c.runner.sim.random.IntN(len(text))], then)
+}
+
+// sendAfterLateResponse sends a response behind a further one to the previous request, if there was one.
+func (c *simulatedRunnerConn) sendAfterLateResponse(text string) {
+	if c.previousID != "" {
+		text = successText(c.previousID, "late") + text
+	}
+	c.sendPieces(text, c.makeIdle)
+}
+
+// sendDelimitedByClose sends a response that ends with the connection; one without a stream may be lost on its way.
+func (c *simulatedRunnerConn) sendDelimitedByClose(made *execution, text string) {
+	if c.request.kind == "reads" || c.request.kind == "writes" {
+		text = sealedResponse(made, "", "\r\n"+made.body)
+		if c.runner.sim.chance(2) {
+			c.sendCutShort(text, c.resetConn)
+			return
+		}
+	}
+	c.sendPieces(text, c.closeConn)
+}
+
+// sendWithLateExtra sends a response and, some time later, a further one unless the runner is replying again.
+func (c *simulatedRunnerConn) sendWithLateExtra(text string) {
+	sim, request := c.runner.sim, c.request
+	c.sendPieces(text, func() {
+		c.makeIdle()
+		c.mayBeStale = true // the extra response may meet any later request
+		sim.network.after(sim.randomDuration(200*time.Millisecond), func() {
+			if !c.replying {
+				c.end.send(c.drawLateExtra(request))
+			}
+		})
+	})
+}
+
 // drawLateExtra chooses a response that arrives after the one that counts.
 func (c *simulatedRunnerConn) drawLateExtra(request *simulatedRequest) string {
 	switch c.runner.sim.random.IntN(4) {
