--- a/cmd/cinderroad-dispatcher/cluster.go
+++ b/cmd/cinderroad-dispatcher/cluster.go
@@ -6,11 +6,25 @@
 	"github.com/spf13/cobra"
 )
 
+// clusterCommand returns the commands that operate the cluster of dispatchers.
 func clusterCommand() *cobra.Command {
 	client := &consoleClient{}
-	c := &cobra.Command{Use: "fleet", Short: "What the dispatchers hold of one another", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.PersistentFlags().StringVar(&client.console, "console", os.Getenv("ROUTER_CONSOLE"), "second `ADDRESS` of a dispatcher; $ROUTER_CONSOLE is the default")
-	c.AddCommand(client.membersCommand(), client.versionsCommand(), client.checkCommand(), client.goneCommand(), client.orderCommand(true), client.orderCommand(false), clusterAuditCommand())
+	c := &cobra.Command{
+		Use:   "fleet",
+		Short: "What the dispatchers hold of one another",
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
+	c.PersistentFlags().StringVar(&client.console, "console", os.Getenv("ROUTER_CONSOLE"),
+		"second `ADDRESS` of a dispatcher; $ROUTER_CONSOLE is the default")
+	c.AddCommand(
+		client.membersCommand(),
+		client.versionsCommand(),
+		client.checkCommand(),
+		client.goneCommand(),
+		client.orderCommand(true),
+		client.orderCommand(false),
+		clusterAuditCommand(),
+	)
 	return c
 }
--- a/cmd/cinderroad-dispatcher/cluster_audit_report.go
+++ b/cmd/cinderroad-dispatcher/cluster_audit_report.go
@@ -32,7 +32,8 @@
 			fmt.Fprintf(out, "%s: %s\n", list.title, line)
 		}
 	}
-	_, err := fmt.Fprintf(out, "\n%d sends, %d judged by their marks, %d rules broken\n", report.Attempts, report.Judged, len(report.Violations))
+	_, err := fmt.Fprintf(out, "\n%d sends, %d judged by their marks, %d rules broken\n",
+		report.Attempts, report.Judged, len(report.Violations))
 	return err
 }
 
@@ -55,9 +56,15 @@
 	for _, version := range versions {
 		median, last, by := "-", "-", "-"
 		if n := len(version.Adoptions); n > 0 {
-			median, last, by = formatAdoption(version.Adoptions[n/2]), formatAdoption(version.Adoptions[n-1]), version.Adoptions[n-1].Dispatcher
+			slowest := version.Adoptions[n-1]
+			median = formatAdoption(version.Adoptions[n/2])
+			last = formatAdoption(slowest)
+			by = slowest.Dispatcher
 		}
-		row("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d", formatVersion(version.Source, version.Epoch, version.Revision), formatTime(version.At), version.First, 1+len(version.Adoptions), median, last, by, len(version.Never))
+		row("%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d",
+			formatVersion(version.Source, version.Epoch, version.Revision),
+			formatTime(version.At), version.First, 1+len(version.Adoptions),
+			median, last, by, len(version.Never))
 	}
 	if n := len(report.Versions) - len(versions); n > 0 {
 		row("and %d versions that took no longer; --json tells all", n)
@@ -72,7 +79,9 @@
 	byLast := slices.Clone(versions)
 	slices.SortStableFunc(byLast, func(x, y auditlog.Version) int { return lastAdoptionMillis(y) - lastAdoptionMillis(x) })
 	least := max(1, lastAdoptionMillis(byLast[maxTableRows-1]))
-	slowest := slices.DeleteFunc(slices.Clone(versions), func(version auditlog.Version) bool { return lastAdoptionMillis(version) < least })
+	slowest := slices.DeleteFunc(slices.Clone(versions), func(version auditlog.Version) bool {
+		return lastAdoptionMillis(version) < least
+	})
 	return slowest[:min(len(slowest), maxTableRows)]
 }
 
@@ -86,7 +95,9 @@
 		if straggler.Never {
 			span += ", to its end"
 		}
-		row("%s\t%s\t%d to %d\t%s\t%s\t%d", straggler.Dispatcher, straggler.Cause, straggler.Revision, straggler.LastRevision, formatTime(straggler.Since), span, straggler.Attempts)
+		row("%s\t%s\t%d to %d\t%s\t%s\t%d",
+			straggler.Dispatcher, straggler.Cause, straggler.Revision, straggler.LastRevision,
+			formatTime(straggler.Since), span, straggler.Attempts)
 	}
 }
 
@@ -96,7 +107,9 @@
 		row("\nRULE BROKEN BY\tRULE\tWORKER\tSENDS\tFIRST JOB\tAT\tLATEST AFTER")
 	}
 	for _, violation := range report.Violations {
-		row("%s\t%s\t%s\t%d\t%s\t%s\t%.3f s", violation.Dispatcher, violation.Rule, violation.Node, violation.Attempts, violation.First, formatTime(violation.At), violation.LatestAfter)
+		row("%s\t%s\t%s\t%d\t%s\t%s\t%.3f s",
+			violation.Dispatcher, violation.Rule, violation.Node, violation.Attempts, violation.First,
+			formatTime(violation.At), violation.LatestAfter)
 	}
 }
 
--- a/cmd/cinderroad-dispatcher/cluster_check.go
+++ b/cmd/cinderroad-dispatcher/cluster_check.go
@@ -21,14 +21,18 @@
 	maxNamedDifferences = 5
 )
 
+// checkCommand returns the command that compares the members' views of the cluster.
 func (client *consoleClient) checkCommand() *cobra.Command {
 	patience := 10 * time.Second
-	c := &cobra.Command{Use: "check", Short: "Ask every member whether it holds the same view; status 1 if one does not",
+	c := &cobra.Command{
+		Use:   "check",
+		Short: "Ask every member whether it holds the same view; status 1 if one does not",
 		Long: `Ask every member whether it holds the same view.
 
 The dispatcher at --console names the members; each that is alive and has a second address is asked there. Views that move are
 asked again for as long as --patience says. Names those that disagree or do not answer, and ends with status 1 if there are any.`,
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
 			for end := time.Now().Add(patience); ; time.Sleep(checkInterval) {
 				views, err := client.compareViews()
 				if err != nil {
@@ -46,7 +50,8 @@
 				}
 				return nil
 			}
-		}}
+		},
+	}
 	c.Flags().BoolVar(&client.asJSON, "json", false, "one line of JSON")
 	c.Flags().DurationVar(&patience, "patience", patience, "how long views that move are asked again")
 	return c
@@ -116,6 +121,7 @@
 	return ": " + strings.Join(names, "; ")
 }
 
+// printViews writes which members agree, as a table, or as JSON.
 func (client *consoleClient) printViews(out io.Writer, views []memberView) error {
 	if client.asJSON {
 		return json.NewEncoder(out).Encode(views)
--- a/cmd/cinderroad-dispatcher/cluster_members.go
+++ b/cmd/cinderroad-dispatcher/cluster_members.go
@@ -13,9 +13,14 @@
 	"cinderroad/internal/dispatcher/cluster"
 )
 
+// membersCommand returns the command that lists the members, once or again and again.
 func (client *consoleClient) membersCommand() *cobra.Command {
-	watch, every := false, time.Second
-	c := &cobra.Command{Use: "members", Short: "List the members as one dispatcher holds them", Args: cobra.NoArgs,
+	watch := false
+	every := time.Second
+	c := &cobra.Command{
+		Use:   "members",
+		Short: "List the members as one dispatcher holds them",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for {
 				s, err := client.status(client.console)
@@ -35,28 +40,40 @@
 				}
 				time.Sleep(every)
 			}
-		}}
+		},
+	}
 	c.Flags().BoolVar(&client.asJSON, "json", false, "as the dispatcher answers it")
 	c.Flags().BoolVar(&watch, "watch", false, "again and again, until stopped")
 	c.Flags().DurationVar(&every, "every", every, "pause of --watch")
 	return c
 }
 
+// printMembers writes a view of the cluster as a table, or as JSON.
 func (client *consoleClient) printMembers(out io.Writer, status *cluster.Status) error {
 	if client.asJSON {
 		return json.NewEncoder(out).Encode(status)
 	}
-	settled := "settled"
+	convergence := "settled"
 	if !status.Converged {
-		settled = "not settled"
+		convergence = "not settled"
 	}
-	fmt.Fprintf(out, "fleet %s as %s holds it: %s, digest %s, %s\n", status.Cluster, status.Self, status.String(), status.Digest, settled)
-	fmt.Fprintf(out, "cold workers are shared among %d (%s, part %v)\n\n", status.Share.Instances, status.Share.Reason, status.Share.Fraction)
+	fmt.Fprintf(out, "fleet %s as %s holds it: %s, digest %s, %s\n",
+		status.Cluster, status.Self, status.String(), status.Digest, convergence)
+	fmt.Fprintf(out, "cold workers are shared among %d (%s, part %v)\n\n",
+		status.Share.Instances, status.Share.Reason, status.Share.Fraction)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NAME\tSTATE\tFOR\tSERVING\tZONE\tADDRESS\tCONSOLE\tINC\tPROGRAM")
 	for _, member := range status.Members {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", member.Name, member.State, time.Since(time.UnixMilli(member.SinceMS)).Round(time.Second),
-			cmp.Or(member.Serving, "-"), cmp.Or(member.Zone, "-"), member.Address, cmp.Or(member.Console, "-"), member.Incarnation, cmp.Or(member.Version["program"], "-"))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n",
+			member.Name,
+			member.State,
+			time.Since(time.UnixMilli(member.SinceMS)).Round(time.Second),
+			cmp.Or(member.Serving, "-"),
+			cmp.Or(member.Zone, "-"),
+			member.Address,
+			cmp.Or(member.Console, "-"),
+			member.Incarnation,
+			cmp.Or(member.Version["program"], "-"))
 	}
 	return table.Flush()
 }
--- a/cmd/cinderroad-dispatcher/cluster_orders.go
+++ b/cmd/cinderroad-dispatcher/cluster_orders.go
@@ -15,7 +15,10 @@
 
 // goneCommand returns the command that declares a dead member departed.
 func (client *consoleClient) goneCommand() *cobra.Command {
-	return &cobra.Command{Use: "gone NAME", Short: "Declare that a member held dead has ended for good, for all members", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use:   "gone NAME",
+		Short: "Declare that a member held dead has ended for good, for all members",
+		Args:  cobra.ExactArgs(1),
 		Long: `Declare that a member held dead has ended for good.
 
 Only say so when you know that its process has ended: its share of cold workers is given to the others at once.`,
@@ -23,7 +26,8 @@
 			body, _ := json.Marshal(map[string]string{"member": args[0]})
 			_, err := callConsole(client.console, "PUT", "/api/fleet/gone", string(body))
 			return err
-		}}
+		},
+	}
 }
 
 // orderCommand returns the command that shuts a member out, or the one that ends that.
@@ -33,7 +37,10 @@
 		use, short, path = "bring-back NAME", "Take a shut-out back", "/api/fleet/bring-back"
 	}
 	patience := 30 * time.Second
-	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.ExactArgs(1),
 		Long: short + `.
 
 The order is given to the dispatcher at --console, and reaches the one that it names by whichever members can: waits until the
@@ -57,7 +64,8 @@
 					return fmt.Errorf("fleet: the order is given, but %s does not show it after %v; it stands", args[0], patience)
 				}
 			}
-		}}
+		},
+	}
 	c.Flags().DurationVar(&patience, "patience", patience, "how long it is waited for")
 	return c
 }
--- a/cmd/cinderroad-dispatcher/cluster_test.go
+++ b/cmd/cinderroad-dispatcher/cluster_test.go
@@ -18,8 +18,14 @@
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /api/fleet":
-			_ = json.NewEncoder(rw).Encode(cluster.Status{Cluster: "f", Self: name, Digest: digest, Converged: settled, Members: *members,
-				Share: cluster.StatusShare{Instances: 3, Fraction: 1, Reason: "full"}})
+			_ = json.NewEncoder(rw).Encode(cluster.Status{
+				Cluster:   "f",
+				Self:      name,
+				Digest:    digest,
+				Converged: settled,
+				Members:   *members,
+				Share:     cluster.StatusShare{Instances: 3, Fraction: 1, Reason: "full"},
+			})
 		case "PUT /api/fleet/gone":
 			rw.WriteHeader(409)
 			fmt.Fprintln(rw, "membership: a is alive: only one that is dead can be declared gone")
@@ -60,15 +66,63 @@
 		says    []string
 		fails   string // empty: status 0
 	}{
-		{"table", of("a", "b"), []string{"members"}, []string{"NAME", "a ", "b ", "2 alive", "settled", "milano", "shared among 3"}, ""},
-		{"json", of("a", "b"), []string{"members", "--json"}, []string{`"digest":"1"`, `"since_ms"`, `"version"`}, ""},
-		{"versions", withListVersions(of("b", "a", "mute"), 7, 5, -1), []string{"versions"}, []string{"mute  alive  -", "a     alive  here/5  2", "b     alive  here/7  0"}, ""},
-		{"versions of two lines", withListVersions(of("a", "b"), 7, 5), []string{"versions", "--json"}, []string{`"rev":5`}, ""},
-		{"agree", of("a", "b"), []string{"check"}, []string{"a ", "b ", "agrees"}, ""},
-		{"disagree", of("a", "b", "c"), []string{"check", "--patience", "10ms"}, []string{"disagrees: b is not known there"}, "not all members hold one view"},
-		{"no answer", of("a", "gone"), []string{"check", "--patience", "10ms"}, []string{"no answer"}, "not all members hold one view"},
-		{"cannot be asked", of("a", "mute"), []string{"check", "--patience", "10ms", "--json"}, []string{"no second address"}, "not all members hold one view"},
-		{"not dead", of("a"), []string{"gone", "a"}, nil, "only one that is dead"},
+		{
+			name:    "table",
+			members: of("a", "b"),
+			args:    []string{"members"},
+			says:    []string{"NAME", "a ", "b ", "2 alive", "settled", "milano", "shared among 3"},
+		},
+		{
+			name:    "json",
+			members: of("a", "b"),
+			args:    []string{"members", "--json"},
+			says:    []string{`"digest":"1"`, `"since_ms"`, `"version"`},
+		},
+		{
+			name:    "versions",
+			members: withListVersions(of("b", "a", "mute"), 7, 5, -1),
+			args:    []string{"versions"},
+			says:    []string{"mute  alive  -", "a     alive  here/5  2", "b     alive  here/7  0"},
+		},
+		{
+			name:    "versions of two lines",
+			members: withListVersions(of("a", "b"), 7, 5),
+			args:    []string{"versions", "--json"},
+			says:    []string{`"rev":5`},
+		},
+		{
+			name:    "agree",
+			members: of("a", "b"),
+			args:    []string{"check"},
+			says:    []string{"a ", "b ", "agrees"},
+		},
+		{
+			name:    "disagree",
+			members: of("a", "b", "c"),
+			args:    []string{"check", "--patience", "10ms"},
+			says:    []string{"disagrees: b is not known there"},
+			fails:   "not all members hold one view",
+		},
+		{
+			name:    "no answer",
+			members: of("a", "gone"),
+			args:    []string{"check", "--patience", "10ms"},
+			says:    []string{"no answer"},
+			fails:   "not all members hold one view",
+		},
+		{
+			name:    "cannot be asked",
+			members: of("a", "mute"),
+			args:    []string{"check", "--patience", "10ms", "--json"},
+			says:    []string{"no second address"},
+			fails:   "not all members hold one view",
+		},
+		{
+			name:    "not dead",
+			members: of("a"),
+			args:    []string{"gone", "a"},
+			fails:   "only one that is dead",
+		},
 	} {
 		members = tc.members
 		out, err := call(append([]string{"fleet", "--console", one}, tc.args...)...)
--- a/cmd/cinderroad-dispatcher/cluster_versions.go
+++ b/cmd/cinderroad-dispatcher/cluster_versions.go
@@ -14,8 +14,12 @@
 	"cinderroad/internal/dispatcher/cluster"
 )
 
+// versionsCommand returns the command that lists which versions each member holds.
 func (client *consoleClient) versionsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "versions", Short: "Who holds which version of discovery's list, settings, operator's file and program; the oldest first", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "versions",
+		Short: "Who holds which version of discovery's list, settings, operator's file and program; the oldest first",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := client.status(client.console)
 			if err != nil {
@@ -25,7 +29,8 @@
 				return json.NewEncoder(c.OutOrStdout()).Encode(byListVersion(s.Members))
 			}
 			return printVersions(c.OutOrStdout(), s)
-		}}
+		},
+	}
 	c.Flags().BoolVar(&client.asJSON, "json", false, "the members as the dispatcher answers them, the oldest first")
 	return c
 }
@@ -37,7 +42,11 @@
 		if x.ListVersion == nil || y.ListVersion == nil {
 			return cmp.Compare(min(1, len(formatListVersion(x))), min(1, len(formatListVersion(y))))
 		}
-		return cmp.Or(cmp.Compare(x.ListVersion.Source, y.ListVersion.Source), cmp.Compare(x.ListVersion.Epoch, y.ListVersion.Epoch), cmp.Compare(x.ListVersion.Revision, y.ListVersion.Revision))
+		return cmp.Or(
+			cmp.Compare(x.ListVersion.Source, y.ListVersion.Source),
+			cmp.Compare(x.ListVersion.Epoch, y.ListVersion.Epoch),
+			cmp.Compare(x.ListVersion.Revision, y.ListVersion.Revision),
+		)
 	})
 	return out
 }
@@ -65,21 +74,37 @@
 	for _, member := range byListVersion(status.Members) {
 		behind, since := "-", "-"
 		if member.ListVersion != nil {
-			lag := int64(0)
-			for _, other := range status.Members {
-				if other.ListVersion != nil {
-					if by, ok := member.ListVersion.Lag(*other.ListVersion); ok {
-						lag = max(lag, by)
-					}
-				}
-			}
-			behind, since = fmt.Sprint(lag), time.Since(time.UnixMilli(member.ListVersionMS)).Round(time.Second).String()
+			behind = fmt.Sprint(listLag(member, status.Members))
+			since = time.Since(time.UnixMilli(member.ListVersionMS)).Round(time.Second).String()
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", member.Name, member.State, cmp.Or(formatListVersion(member), "-"), behind, since, cmp.Or(member.Version["settings"], "-"),
-			cmp.Or(member.Version["operator"], "-"), cmp.Or(member.Version["excluded"], "-"), cmp.Or(member.Version["program"], "-"))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
+			member.Name,
+			member.State,
+			cmp.Or(formatListVersion(member), "-"),
+			behind,
+			since,
+			cmp.Or(member.Version["settings"], "-"),
+			cmp.Or(member.Version["operator"], "-"),
+			cmp.Or(member.Version["excluded"], "-"),
+			cmp.Or(member.Version["program"], "-"))
 	}
 	for _, restriction := range status.Restrictions {
-		fmt.Fprintf(table, "\n%s withholds %s: %s says that it is %s at version %d\n", status.Self, restriction.Worker, restriction.From, restriction.State, restriction.Revision)
+		fmt.Fprintf(table, "\n%s withholds %s: %s says that it is %s at version %d\n",
+			status.Self, restriction.Worker, restriction.From, restriction.State, restriction.Revision)
 	}
 	return table.Flush()
 }
+
+// listLag returns how many versions the list of member, which must be known, is behind the newest list that compares with it.
+func listLag(member cluster.Member, members []cluster.Member) int64 {
+	lag := int64(0)
+	for _, other := range members {
+		if other.ListVersion == nil {
+			continue
+		}
+		if by, ok := member.ListVersion.Lag(*other.ListVersion); ok {
+			lag = max(lag, by)
+		}
+	}
+	return lag
+}
--- a/cmd/cinderroad-dispatcher/main.go
+++ b/cmd/cinderroad-dispatcher/main.go
@@ -25,15 +25,35 @@
 // rootCommand returns the command line. Without a subcommand it serves.
 func rootCommand() *cobra.Command {
 	options := &serveOptions{}
-	root := &cobra.Command{Use: "cinderroad-dispatcher", Short: "A dispatcher: every job gets one final answer", Args: cobra.NoArgs,
-		SilenceErrors: true, SilenceUsage: true, RunE: options.run}
-	serve := &cobra.Command{Use: "serve", Short: "Serve until told to stop; what a bare call does, too", Args: cobra.NoArgs, RunE: options.run}
-	check := &cobra.Command{Use: "check", Short: "Read configuration and operator's file, and print what is in force", Args: cobra.NoArgs, RunE: options.check}
+	root := &cobra.Command{
+		Use:           "cinderroad-dispatcher",
+		Short:         "A dispatcher: every job gets one final answer",
+		Args:          cobra.NoArgs,
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		RunE:          options.run,
+	}
+	serve := &cobra.Command{
+		Use:   "serve",
+		Short: "Serve until told to stop; what a bare call does, too",
+		Args:  cobra.NoArgs,
+		RunE:  options.run,
+	}
+	check := &cobra.Command{
+		Use:   "check",
+		Short: "Read configuration and operator's file, and print what is in force",
+		Args:  cobra.NoArgs,
+		RunE:  options.check,
+	}
 	for _, c := range []*cobra.Command{root, serve, check} {
 		options.addFlags(c)
 	}
-	root.AddCommand(serve, check, metricsCommand(), requestAuditCommand(), clusterCommand(), &cobra.Command{Use: "version", Short: "Print the version",
-		Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) }})
+	root.AddCommand(serve, check, metricsCommand(), requestAuditCommand(), clusterCommand(), &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		Run:   func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) },
+	})
 	root.CompletionOptions.HiddenDefaultCmd = true
 	return root
 }
--- a/cmd/cinderroad-dispatcher/main_test.go
+++ b/cmd/cinderroad-dispatcher/main_test.go
@@ -52,7 +52,8 @@
 		return path
 	}
 	example := "../../internal/dispatcher/server/example.json"
-	out, err := call("check", "-config", example, "-operator", file("o.toml", "[graphite]\naddress = \"127.0.0.1:2003\"\n[request_log]\npath = \"r.log\"\n"))
+	operator := file("o.toml", "[graphite]\naddress = \"127.0.0.1:2003\"\n[request_log]\npath = \"r.log\"\n")
+	out, err := call("check", "-config", example, "-operator", operator)
 	for _, want := range []string{"dispatcher-1", "127.0.0.1:2003", filepath.Join(dir, "r.log"), "report, charge"} {
 		if err != nil || !strings.Contains(out, want) {
 			t.Errorf("%v: no %q in\n%s", err, want, out)
@@ -68,7 +69,10 @@
 		{[]string{"check", "-config", file("none", "") + "x"}, "no such file"},
 		{[]string{"check", "-config", file("bad.json", "{\n \"name\": 1x\n}")}, "bad.json:2"},
 		{[]string{"check", "-config", file("kind.json", "{\n \"name\": 1\n}")}, "kind.json:2"},
-		{[]string{"check", "-config", example, "-operator", file("p.toml", "[telemetry]\nevery = 1\n")}, "p.toml:2: telemetry.every: unknown key"},
+		{
+			[]string{"check", "-config", example, "-operator", file("p.toml", "[telemetry]\nevery = 1\n")},
+			"p.toml:2: telemetry.every: unknown key",
+		},
 		{[]string{"check", "-config", example, "-graphite", "nowhere"}, "graphite"},
 		{[]string{"serve", "-config", example, "-log", "loud"}, "loud"},
 		{[]string{"sreve"}, "unknown command"},
@@ -88,20 +92,52 @@
 		}
 		return path
 	}
-	log := file("log", `{"by":"n.0","id":"1","class":"score","verdict":"in_time"}`, `{"by":"n.0","id":"2","class":"score","verdict":"in_time"}`,
-		`{"by":"n.0","id":"3","class":"score","verdict":"refused"}`)
+	log := file("log",
+		`{"by":"n.0","id":"1","class":"score","verdict":"in_time"}`,
+		`{"by":"n.0","id":"2","class":"score","verdict":"in_time"}`,
+		`{"by":"n.0","id":"3","class":"score","verdict":"refused"}`,
+	)
 	for _, tc := range []struct {
 		received []string
 		says     string // empty: they agree
 	}{
-		{[]string{"c.n_0.classes.score.answers.in_time 1 10", "c.n_0.classes.score.answers.in_time 2 20", "c.n_0.classes.score.answers.refused 1 20", "c.n_0.reqs.open 5 20"}, ""},
-		// again, out of order, and begun anew by a restart
-		{[]string{"c.n_0.classes.score.answers.in_time 1 20", "c.n_0.classes.score.answers.in_time 1 10", "c.n_0.classes.score.answers.in_time 1 10",
-			"c.n_0.classes.score.answers.in_time 0 15", "c.n_0.classes.score.answers.refused 1 20"}, ""},
-		{[]string{`PUTVAL "n_0/cinderroad/derive-classes_score_answers_in_time" interval=10 10.5:2`, `PUTVAL "n_0/cinderroad/derive-classes_score_answers_refused" interval=10 10.5:1`}, ""},
-		{[]string{"c.n_0.classes.score.answers.in_time 2 20"}, "1 answers differ"},
-		{[]string{"c.n_0.classes.score.answers.in_time 2 20", "c.n_0.classes.score.answers.refused 1 20", "c.n_0.classes.score.answers.gone 1 20"}, "1 answers differ"},
-		{[]string{"c.n_0.classes.score.answers.in_time 2 20", "c.n_0.classes.score.answers.refused 1 20", "half a li"}, "make no sense"},
+		{received: []string{
+			"c.n_0.classes.score.answers.in_time 1 10",
+			"c.n_0.classes.score.answers.in_time 2 20",
+			"c.n_0.classes.score.answers.refused 1 20",
+			"c.n_0.reqs.open 5 20",
+		}},
+		{received: []string{ // again, out of order, and begun anew by a restart
+			"c.n_0.classes.score.answers.in_time 1 20",
+			"c.n_0.classes.score.answers.in_time 1 10",
+			"c.n_0.classes.score.answers.in_time 1 10",
+			"c.n_0.classes.score.answers.in_time 0 15",
+			"c.n_0.classes.score.answers.refused 1 20",
+		}},
+		{received: []string{
+			`PUTVAL "n_0/cinderroad/derive-classes_score_answers_in_time" interval=10 10.5:2`,
+			`PUTVAL "n_0/cinderroad/derive-classes_score_answers_refused" interval=10 10.5:1`,
+		}},
+		{
+			received: []string{"c.n_0.classes.score.answers.in_time 2 20"},
+			says:     "1 answers differ",
+		},
+		{
+			received: []string{
+				"c.n_0.classes.score.answers.in_time 2 20",
+				"c.n_0.classes.score.answers.refused 1 20",
+				"c.n_0.classes.score.answers.gone 1 20",
+			},
+			says: "1 answers differ",
+		},
+		{
+			received: []string{
+				"c.n_0.classes.score.answers.in_time 2 20",
+				"c.n_0.classes.score.answers.refused 1 20",
+				"half a li",
+			},
+			says: "make no sense",
+		},
 	} {
 		out, err := call("audit", "--log", log, "--received", file("received", tc.received...))
 		if tc.says == "" && err != nil || tc.says != "" && (err == nil || !strings.Contains(err.Error(), tc.says)) {
--- a/cmd/cinderroad-dispatcher/metrics.go
+++ b/cmd/cinderroad-dispatcher/metrics.go
@@ -9,9 +9,13 @@
 	"cinderroad/internal/dispatcher/server"
 )
 
+// metricsCommand returns the command that documents the metrics.
 func metricsCommand() *cobra.Command {
 	var page bool
-	c := &cobra.Command{Use: "figures", Short: "List every series: name, kind, unit and meaning", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "figures",
+		Short: "List every series: name, kind, unit and meaning",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if page {
 				return server.WriteMetricsPage(c.OutOrStdout())
@@ -21,7 +25,8 @@
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", d.Pattern, d.Kind, d.Unit, d.Help)
 			}
 			return t.Flush()
-		}}
+		},
+	}
 	c.Flags().BoolVar(&page, "page", false, "as the page docs/figures.md")
 	return c
 }
--- a/cmd/cinderroad-dispatcher/request_audit.go
+++ b/cmd/cinderroad-dispatcher/request_audit.go
@@ -14,13 +14,16 @@
 // requestAuditCommand returns the command that compares request logs with the metrics that a receiver has got.
 func requestAuditCommand() *cobra.Command {
 	var logs, received []string
-	c := &cobra.Command{Use: "audit", Short: "Compare request logs with what a receiver has got, class by class and verdict by verdict",
+	c := &cobra.Command{
+		Use:   "audit",
+		Short: "Compare request logs with what a receiver has got, class by class and verdict by verdict",
 		Long: `Compare request logs with what a receiver has got.
 
 For each dispatcher, class and verdict, the lines of the logs are counted and the growth of the total is worked out; they must be
 equal. A log is as [request_log] of the operator's file writes it, its older files (FILE.1, FILE.2) named, too. What a receiver
 has got is a file of lines PATH VALUE TIME, as Graphite takes them, or PUTVAL lines. Ends with status 1 where the two differ.`,
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
 			comparison := requestaudit.New()
 			if err := readFiles(logs, comparison.ReadRequestLog); err != nil {
 				return err
@@ -41,7 +44,8 @@
 				return errors.New("audit: nothing was there to compare")
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringArrayVar(&logs, "log", nil, "request log `FILE`; may be there more than once")
 	c.Flags().StringArrayVar(&received, "received", nil, "`FILE` of what a receiver has got; may be there more than once")
 	for _, name := range []string{"log", "received"} {
