--- a/internal/dispatcher/server/audit_log.go
+++ b/internal/dispatcher/server/audit_log.go
@@ -17,14 +17,19 @@
 	if file.Cluster == nil || file.Cluster.AuditLogPath == "" {
 		return linelog.Options{}
 	}
-	options := linelog.Options{Path: file.Cluster.AuditLogPath, MaxBytes: operatorconfig.DefaultLogBytes, KeepFiles: operatorconfig.DefaultLogKeepFiles}
-	if l := file.RequestLog; l != nil {
-		options.MaxBytes, options.KeepFiles = l.MaxBytes, *l.KeepFiles
+	options := linelog.Options{
+		Path:      file.Cluster.AuditLogPath,
+		MaxBytes:  operatorconfig.DefaultLogBytes,
+		KeepFiles: operatorconfig.DefaultLogKeepFiles,
+	}
+	if section := file.RequestLog; section != nil {
+		options.MaxBytes = section.MaxBytes
+		options.KeepFiles = *section.KeepFiles
 	}
 	return options
 }
 
-// sameLogFile reports whether two options are of one file with the same bounds.
+// sameLogFile reports whether two options are of one file with the same bounds; how errors are reported does not matter.
 func sameLogFile(a, b linelog.Options) bool {
 	return a.Path == b.Path && a.MaxBytes == b.MaxBytes && a.KeepFiles == b.KeepFiles
 }
@@ -52,14 +57,25 @@
 		return
 	}
 	s.closeAuditLog(true)
-	if s.auditLogFile = options; next == nil {
+	s.auditLogFile = options
+	if next == nil {
 		return
 	}
 	s.auditLog = next
 	next.ContinueAfter(s.auditSequence)
-	s.recordAudit(auditlog.Entry{Kind: auditlog.Started, Program: version(), Settings: s.metadata.SettingsHash, Operator: s.metadata.OperatorHash})
-	if list, has := s.versionTable.Version(); has {
-		s.recordAudit(versionEntry(&versions.Event{Kind: versions.ListApplied, Version: list, Cached: true, Facts: s.versionTable.NotReady()}))
+	s.recordAudit(auditlog.Entry{
+		Kind:     auditlog.Started,
+		Program:  version(),
+		Settings: s.metadata.SettingsHash,
+		Operator: s.metadata.OperatorHash,
+	})
+	if list, ok := s.versionTable.Version(); ok {
+		s.recordAudit(versionEntry(&versions.Event{
+			Kind:    versions.ListApplied,
+			Version: list,
+			Cached:  true,
+			Facts:   s.versionTable.NotReady(),
+		}))
 	}
 }
 
@@ -71,7 +87,8 @@
 	}
 	s.recordAudit(auditlog.Entry{Kind: auditlog.Ended})
 	closing := s.auditLog
-	s.auditLog, s.dispatcher.AuditMark = nil, 0
+	s.auditLog = nil
+	s.dispatcher.AuditMark = 0
 	if inBackground {
 		go closing.Close()
 	} else {
@@ -108,9 +125,16 @@
 }
 
 // auditKinds translates the kinds of the version table's events.
-var auditKinds = map[versions.EventKind]string{versions.ListApplied: auditlog.ListApplied, versions.FactsReceived: auditlog.FactsReceived, versions.CaughtUp: auditlog.CaughtUp,
-	versions.NewerVersionKnown: auditlog.NewerKnown, versions.FactDoubted: auditlog.FactsDoubted, versions.DiscoverySilent: auditlog.DiscoverySilent, versions.DiscoveryResumed: auditlog.DiscoveryResumed,
-	versions.ClockReceived: auditlog.ClockReceived}
+var auditKinds = map[versions.EventKind]string{
+	versions.ListApplied:       auditlog.ListApplied,
+	versions.FactsReceived:     auditlog.FactsReceived,
+	versions.CaughtUp:          auditlog.CaughtUp,
+	versions.NewerVersionKnown: auditlog.NewerKnown,
+	versions.FactDoubted:       auditlog.FactsDoubted,
+	versions.DiscoverySilent:   auditlog.DiscoverySilent,
+	versions.DiscoveryResumed:  auditlog.DiscoveryResumed,
+	versions.ClockReceived:     auditlog.ClockReceived,
+}
 
 // handleVersionEvent records an event of the version table.
 func (s *Server) handleVersionEvent(_ float64, event *versions.Event) {
@@ -119,8 +143,16 @@
 
 // versionEntry is the audit log's entry for an event of the version table.
 func versionEntry(event *versions.Event) auditlog.Entry {
-	entry := auditlog.Entry{Kind: auditKinds[event.Kind], From: event.From, Source: event.Version.Source, Epoch: event.Version.Epoch, Revision: event.Version.Revision, Cached: event.Cached,
-		LateSeconds: event.SilentFor, PeerClock: event.PeerClock}
+	entry := auditlog.Entry{
+		Kind:        auditKinds[event.Kind],
+		From:        event.From,
+		Source:      event.Version.Source,
+		Epoch:       event.Version.Epoch,
+		Revision:    event.Version.Revision,
+		Cached:      event.Cached,
+		LateSeconds: event.SilentFor,
+		PeerClock:   event.PeerClock,
+	}
 	for _, fact := range event.Facts {
 		worker := auditlog.Worker{Name: fact.Worker, State: fact.State.String(), Start: fact.Start}
 		if fact.Revision != event.Version.Revision {
@@ -133,5 +165,10 @@
 
 // handleConvergence records that the members' view has converged.
 func (s *Server) handleConvergence(convergence cluster.Convergence) {
-	s.recordAudit(auditlog.Entry{Kind: auditlog.ViewConverged, Digest: convergence.Digest, Members: convergence.Alive, LateSeconds: convergence.After})
+	s.recordAudit(auditlog.Entry{
+		Kind:        auditlog.ViewConverged,
+		Digest:      convergence.Digest,
+		Members:     convergence.Alive,
+		LateSeconds: convergence.After,
+	})
 }
--- a/internal/dispatcher/server/cluster.go
+++ b/internal/dispatcher/server/cluster.go
@@ -35,8 +35,12 @@
 // is open, nil to keep that.
 func (s *Server) joinCluster(options *cluster.Options, socket *eventloop.UDPSocket, auditLog *auditlog.Log) {
 	s.startVersionTable()
-	options.Versions, options.OnPause, options.OnLease, options.OnConverged = s.versionTable, s.handlePause, s.handleLeaseChange, s.handleConvergence
-	options.Metadata.Serving, options.Metadata.OperatorAt = s.servingState(), uint32(s.loop.Now())
+	options.Versions = s.versionTable
+	options.OnPause = s.handlePause
+	options.OnLease = s.handleLeaseChange
+	options.OnConverged = s.handleConvergence
+	options.Metadata.Serving = s.servingState()
+	options.Metadata.OperatorAt = uint32(s.loop.Now())
 	s.metadata = options.Metadata
 	s.installAuditLog(auditLog, s.config.Operator)
 	s.cluster = cluster.Start(s.loop, s.log, *options, socket, s.setInstanceShare)
@@ -48,7 +52,13 @@
 
 // setInstanceShare applies the number of dispatchers and this one's share of cold workers.
 func (s *Server) setInstanceShare(share quota.Share) {
-	if err := s.dispatcher.SetInstanceShare(loadbalancer.InstanceShare{Instances: share.Instances, Instance: share.Index, BudgetShare: share.Fraction, InstanceKeys: share.Keys}); err != nil {
+	err := s.dispatcher.SetInstanceShare(loadbalancer.InstanceShare{
+		Instances:    share.Instances,
+		Instance:     share.Index,
+		BudgetShare:  share.Fraction,
+		InstanceKeys: share.Keys,
+	})
+	if err != nil {
 		s.log.Error("program: instance share not applied", zap.Error(err))
 		return
 	}
@@ -79,21 +89,29 @@
 	}
 	s.metadata.Serving = s.servingState()
 	if hash := s.exclusionsHash(); hash != s.metadata.ExcludedHash {
-		s.metadata.ExcludedHash, s.metadata.ExcludedAt = hash, uint32(s.loop.Now())
+		s.metadata.ExcludedHash = hash
+		s.metadata.ExcludedAt = uint32(s.loop.Now())
 		s.recordAudit(auditlog.Entry{Kind: auditlog.ExclusionsChanged, Digest: hash, Members: len(s.dispatcher.Exclusions())})
 	}
 	s.cluster.SetMetadata(s.metadata)
 	s.flushAuditLog()
-	if counts := s.dispatcher.Counts(); s.front.EvacuatedSince() > 0 && counts.OpenRequests == 0 && counts.OpenAttempts == 0 {
-		if !s.leftCluster {
-			s.leftCluster = true
-			s.cluster.Leave()
-		}
-	} else if s.leftCluster && s.front.EvacuatedSince() == 0 {
+	s.followEvacuation()
+	s.loop.At(s.loop.Now()+metadataInterval, s.publishMetadata)
+}
+
+// followEvacuation leaves the cluster once an evacuated dispatcher has no work left, and rejoins it after the evacuation.
+func (s *Server) followEvacuation() {
+	evacuated := s.front.EvacuatedSince() > 0
+	counts := s.dispatcher.Counts()
+	idle := counts.OpenRequests == 0 && counts.OpenAttempts == 0
+	switch {
+	case evacuated && idle && !s.leftCluster:
+		s.leftCluster = true
+		s.cluster.Leave()
+	case !evacuated && s.leftCluster:
 		s.leftCluster = false
 		s.cluster.Rejoin()
 	}
-	s.loop.At(s.loop.Now()+metadataInterval, s.publishMetadata)
 }
 
 // leaveCluster announces that this dispatcher has stopped. Call it when no job is pending any more.
--- a/internal/dispatcher/server/cluster_options.go
+++ b/internal/dispatcher/server/cluster_options.go
@@ -47,11 +47,31 @@
 	if z := c.balancerSettings.Zone; z < len(c.dispatcherSettings.FailureDomains) {
 		zone = c.dispatcherSettings.FailureDomains[z]
 	}
-	return &cluster.Options{Cluster: fleet.Name, Name: c.Name, Bind: fleet.ParsedBind, Advertise: fleet.ParsedAdvertise, Seeds: fleet.ParsedSeeds,
-		ProbeInterval: fleet.ProbeIntervalSeconds, DeadTTL: fleet.RetentionSeconds, LeaseTerm: fleet.LeaseSeconds, RandomSeed: c.seed,
-		Metadata: membership.Metadata{Zone: zone[:min(len(zone), maxZoneLength)], Version: version(), Console: c.Console,
-			SettingsHash: shortHash(sharedSettings(c.Settings)), OperatorHash: shortHash([]byte(c.Operator.Common()))},
-		Quota: quota.Config{Instances: c.balancerSettings.Instances, Index: c.balancerSettings.Instance, ProbeInterval: fleet.ProbeIntervalSeconds, LoadDecay: c.balancerSettings.OverloadWindow, AllMembers: *fleet.Complete}}, nil
+	return &cluster.Options{
+		Cluster:       fleet.Name,
+		Name:          c.Name,
+		Bind:          fleet.ParsedBind,
+		Advertise:     fleet.ParsedAdvertise,
+		Seeds:         fleet.ParsedSeeds,
+		ProbeInterval: fleet.ProbeIntervalSeconds,
+		DeadTTL:       fleet.RetentionSeconds,
+		LeaseTerm:     fleet.LeaseSeconds,
+		RandomSeed:    c.seed,
+		Metadata: membership.Metadata{
+			Zone:         zone[:min(len(zone), maxZoneLength)],
+			Version:      version(),
+			Console:      c.Console,
+			SettingsHash: shortHash(sharedSettings(c.Settings)),
+			OperatorHash: shortHash([]byte(c.Operator.Common())),
+		},
+		Quota: quota.Config{
+			Instances:     c.balancerSettings.Instances,
+			Index:         c.balancerSettings.Instance,
+			ProbeInterval: fleet.ProbeIntervalSeconds,
+			LoadDecay:     c.balancerSettings.OverloadWindow,
+			AllMembers:    *fleet.Complete,
+		},
+	}, nil
 }
 
 // sharedSettings returns the settings in canonical form without what differs from member to member, so that members that
--- a/internal/dispatcher/server/cluster_reload.go
+++ b/internal/dispatcher/server/cluster_reload.go
@@ -19,7 +19,8 @@
 // applyClusterReload.
 func (s *Server) prepareClusterReload(next *Config) (*clusterReload, error) {
 	running := *next
-	running.Name, running.balancerSettings = s.config.Name, s.config.balancerSettings // which a reload cannot change
+	running.Name = s.config.Name // neither this nor the balancer's settings can be changed by a reload
+	running.balancerSettings = s.config.balancerSettings
 	options, err := running.clusterOptions()
 	if err != nil || options == nil {
 		return &clusterReload{}, err
@@ -58,30 +59,50 @@
 		s.leaveCluster()
 		s.closeAuditLog(true)
 		s.stopVersionTable()
-		s.setInstanceShare(quota.Share{Instances: s.config.balancerSettings.Instances, Index: s.config.balancerSettings.Instance, Fraction: 1})
+		s.setInstanceShare(quota.Share{
+			Instances: s.config.balancerSettings.Instances,
+			Index:     s.config.balancerSettings.Instance,
+			Fraction:  1,
+		})
 		s.log.Info("program: fleet switched off; shares are as configured")
 	case s.cluster == nil:
 		s.joinCluster(options, change.socket, change.auditLog)
 	case s.cluster.SameIdentity(options):
-		s.cluster.UpdateOptions(*options)
-		changed := options.Metadata.SettingsHash != s.metadata.SettingsHash || options.Metadata.OperatorHash != s.metadata.OperatorHash
-		options.Metadata.ExcludedHash, options.Metadata.ExcludedAt = s.metadata.ExcludedHash, s.metadata.ExcludedAt
-		if options.Metadata.OperatorAt = uint32(s.loop.Now()); options.Metadata.OperatorHash == s.metadata.OperatorHash {
-			options.Metadata.OperatorAt = s.metadata.OperatorAt
-		}
-		s.metadata = options.Metadata
-		s.installAuditLog(change.auditLog, s.config.Operator)
-		if changed {
-			s.recordAudit(auditlog.Entry{Kind: auditlog.SettingsChanged, Settings: options.Metadata.SettingsHash, Operator: options.Metadata.OperatorHash})
-		}
+		s.updateClusterOptions(options, change.auditLog)
 	default:
-		socket := s.cluster.Release()
-		if !s.cluster.SameBind(options) {
-			if socket != nil {
-				socket.Close()
-			}
-			socket = change.socket
+		s.rejoinCluster(change)
+	}
+}
+
+// updateClusterOptions applies options that leave this member's identity as it is. auditLog is as for joinCluster.
+func (s *Server) updateClusterOptions(options *cluster.Options, auditLog *auditlog.Log) {
+	s.cluster.UpdateOptions(*options)
+	before, after := s.metadata, options.Metadata
+	after.ExcludedHash = before.ExcludedHash
+	after.ExcludedAt = before.ExcludedAt
+	after.OperatorAt = before.OperatorAt
+	if after.OperatorHash != before.OperatorHash {
+		after.OperatorAt = uint32(s.loop.Now())
+	}
+	s.metadata = after
+	s.installAuditLog(auditLog, s.config.Operator)
+	if after.SettingsHash != before.SettingsHash || after.OperatorHash != before.OperatorHash {
+		s.recordAudit(auditlog.Entry{
+			Kind:     auditlog.SettingsChanged,
+			Settings: after.SettingsHash,
+			Operator: after.OperatorHash,
+		})
+	}
+}
+
+// rejoinCluster joins the cluster anew under another identity, by way of the socket that is bound already if it may stay.
+func (s *Server) rejoinCluster(change *clusterReload) {
+	socket := s.cluster.Release()
+	if !s.cluster.SameBind(change.options) {
+		if socket != nil {
+			socket.Close()
 		}
-		s.joinCluster(options, socket, change.auditLog)
+		socket = change.socket
 	}
+	s.joinCluster(change.options, socket, change.auditLog)
 }
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -129,11 +129,21 @@
 		if err != nil {
 			return fmt.Errorf("graphite: %w", err)
 		}
-		file.Graphite = append(file.Graphite, operatorconfig.Graphite{Address: shorthand.Graphite, ParsedAddress: addr, Protocol: "plaintext", Prefix: "cinderroad",
-			Confirm: "close", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
+		file.Graphite = append(file.Graphite, operatorconfig.Graphite{
+			Address:        shorthand.Graphite,
+			ParsedAddress:  addr,
+			Protocol:       "plaintext",
+			Prefix:         "cinderroad",
+			Confirm:        "close",
+			TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds,
+		})
 	}
 	if shorthand.Collectd != "" {
-		file.Collectd = append(file.Collectd, operatorconfig.Collectd{Socket: shorthand.Collectd, Security: "none", TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds})
+		file.Collectd = append(file.Collectd, operatorconfig.Collectd{
+			Socket:         shorthand.Collectd,
+			Security:       "none",
+			TimeoutSeconds: operatorconfig.DefaultTimeoutSeconds,
+		})
 	}
 	if shorthand.Interval > 0 {
 		file.Telemetry.IntervalSeconds = shorthand.Interval
@@ -193,8 +203,12 @@
 	for _, variable := range []struct {
 		name  string
 		value *string
-	}{{"ROUTER_NAME", &c.Name}, {"ROUTER_LISTEN", &c.Listen}, {"ROUTER_DISCOVERY", &c.Discovery},
-		{"ROUTER_CONSOLE", &c.Console}} {
+	}{
+		{"ROUTER_NAME", &c.Name},
+		{"ROUTER_LISTEN", &c.Listen},
+		{"ROUTER_DISCOVERY", &c.Discovery},
+		{"ROUTER_CONSOLE", &c.Console},
+	} {
 		if s := env(variable.name); s != "" {
 			*variable.value = s
 		}
@@ -205,8 +219,11 @@
 	for _, address := range []struct {
 		name, text string
 		parsed     *netip.AddrPort
-	}{{"listen", c.Listen, &c.listen}, {"discovery", c.Discovery, &c.discovery},
-		{"console", c.Console, &c.console}} {
+	}{
+		{"listen", c.Listen, &c.listen},
+		{"discovery", c.Discovery, &c.discovery},
+		{"console", c.Console, &c.console},
+	} {
 		if address.text == "" {
 			continue
 		}
--- a/internal/dispatcher/server/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -53,8 +53,10 @@
 
 func (c *Config) describeMetrics(line func(name, format string, values ...any)) {
 	operator := c.Operator
+	settings := operator.Telemetry
 	for _, g := range operator.Graphite {
-		line("graphite", "%s, %s, paths begin %s.%s, confirm %s, patience %v s", g.ParsedAddress, g.Protocol, g.Prefix, telemetry.SanitizeName(c.Name), g.Confirm, g.TimeoutSeconds)
+		line("graphite", "%s, %s, paths begin %s.%s, confirm %s, patience %v s",
+			g.ParsedAddress, g.Protocol, g.Prefix, telemetry.SanitizeName(c.Name), g.Confirm, g.TimeoutSeconds)
 	}
 	for _, d := range operator.Collectd {
 		if d.Socket != "" {
@@ -66,9 +68,10 @@
 	if len(operator.Graphite)+len(operator.Collectd) == 0 {
 		line("figures", "go nowhere")
 	} else {
-		line("figures", "every %v s, %d bytes held in memory, series of %d nodes", operator.Telemetry.IntervalSeconds, operator.Telemetry.MemoryBytes, *operator.Telemetry.NodeSeries)
+		line("figures", "every %v s, %d bytes held in memory, series of %d nodes",
+			settings.IntervalSeconds, settings.MemoryBytes, *settings.NodeSeries)
 	}
-	line("spool", "%s", cmp.Or(operator.Telemetry.SpoolDir, "off: totals begin at 0 with each start"))
+	line("spool", "%s", cmp.Or(settings.SpoolDir, "off: totals begin at 0 with each start"))
 }
 
 func (c *Config) describeCluster(line func(name, format string, values ...any)) {
@@ -77,12 +80,13 @@
 		line("fleet", "off")
 		return
 	}
-	whole := "all dispatchers are members"
+	completeness := "all dispatchers are members"
 	if !*fleet.Complete {
-		whole = "not all dispatchers are members: nInstances is the least"
+		completeness = "not all dispatchers are members: nInstances is the least"
 	}
-	line("fleet", "%s as %s, %s over UDP, others reach it at %s, seeds %s, a probe every %v s, %s", fleet.Name, c.Name, fleet.ParsedBind, fleet.ParsedAdvertise,
-		cmp.Or(strings.Join(fleet.Seeds, ", "), "none"), fleet.ProbeIntervalSeconds, whole)
+	seeds := cmp.Or(strings.Join(fleet.Seeds, ", "), "none")
+	line("fleet", "%s as %s, %s over UDP, others reach it at %s, seeds %s, a probe every %v s, %s",
+		fleet.Name, c.Name, fleet.ParsedBind, fleet.ParsedAdvertise, seeds, fleet.ProbeIntervalSeconds, completeness)
 	line("lease", "%v s without a word of discovery", fleet.LeaseSeconds)
 	line("ledger", "%s", cmp.Or(fleet.AuditLogPath, "off: no request log, and ledger names no file"))
 }
--- a/internal/dispatcher/server/exclusions.go
+++ b/internal/dispatcher/server/exclusions.go
@@ -81,13 +81,24 @@
 		return saved, fmt.Errorf("program: exclusions: version %d", saved.Version)
 	}
 	for name, exclusion := range saved.Exclusions {
-		if name == "" || !(exclusion.ExcludedAt > 0) || exclusion.StartedAt < 0 || exclusion.IncludedAt < 0 || math.IsInf(exclusion.ExcludedAt+exclusion.StartedAt+exclusion.IncludedAt, 0) {
+		if name == "" || !plausible(exclusion) {
 			return saved, fmt.Errorf("program: exclusions: bad entry %q", name)
 		}
 	}
 	return saved, nil
 }
 
+// plausible reports whether the times of an exclusion are ones that can occur.
+func plausible(exclusion dispatch.Exclusion) bool {
+	if !(exclusion.ExcludedAt > 0) { // also if it is NaN
+		return false
+	}
+	if exclusion.StartedAt < 0 || exclusion.IncludedAt < 0 {
+		return false
+	}
+	return !math.IsInf(exclusion.ExcludedAt+exclusion.StartedAt+exclusion.IncludedAt, 0)
+}
+
 // exclusionsHash identifies the set of excluded workers, for operators to compare dispatchers; empty if there are none.
 func (s *Server) exclusionsHash() string {
 	exclusions := s.dispatcher.Exclusions()
--- a/internal/dispatcher/server/metrics_page.go
+++ b/internal/dispatcher/server/metrics_page.go
@@ -14,7 +14,8 @@
 	var b strings.Builder
 	b.WriteString(`# Figures
 
-Made by ` + "`cinderroad-dispatcher figures --page`" + `; a test holds the two equal. What stands in <> varies: a class or a data centre by its name in
+Made by ` + "`cinderroad-dispatcher figures --page`" + `; a test holds the two equal. What stands in <> varies: ` +
+		`a class or a data centre by its name in
 the settings, cleaned to letters, digits, _ and -; a slot is a number that nodes hold in turn (see [telemetry](telemetry.md)).
 
 In Graphite a path is the prefix, the dispatcher's name and the name here. In collectd the host is the dispatcher, the plug-in is
--- a/internal/dispatcher/server/operator.go
+++ b/internal/dispatcher/server/operator.go
@@ -17,8 +17,8 @@
 		"/api/fleet/bring-back": {Method: "PUT", TakesMember: true, Handle: s.handleClusterOrder(false)},
 		"/api/exclude":          {Method: "PUT", TakesMember: true, Handle: s.handleExclude},
 		"/api/include":          {Method: "PUT", TakesMember: true, Handle: s.handleInclude},
-		"/api/evacuate":         {Method: "PUT", Handle: func(_ string, reply admin.Reply) { s.executeOrder(operatorOrder{Action: "evacuate"}, reply) }},
-		"/api/rejoin":           {Method: "PUT", Handle: func(_ string, reply admin.Reply) { s.executeOrder(operatorOrder{Action: "rejoin"}, reply) }},
+		"/api/evacuate":         {Method: "PUT", Handle: s.handleOrder(actionEvacuate)},
+		"/api/rejoin":           {Method: "PUT", Handle: s.handleOrder(actionRejoin)},
 	}
 }
 
@@ -38,7 +38,7 @@
 	reply(200, "ready")
 }
 
-// setEvacuated evacuates the dispatcher, as of the Unix time began, or ends the evacuation.
+// setEvacuated evacuates the dispatcher, as of the Unix time since, or ends the evacuation.
 func (s *Server) setEvacuated(on bool, since float64) {
 	s.front.Evacuate(on, since)
 	if s.gearman != nil {
@@ -46,19 +46,34 @@
 	}
 }
 
+// The actions of an order, as they are forwarded and logged.
+const (
+	actionEvacuate = "evacuate"
+	actionRejoin   = "rejoin"
+	actionExclude  = "exclude"
+	actionInclude  = "include"
+)
+
 // operatorOrder is an order of an operator, in the form in which it is forwarded to the dispatcher's other process.
 type operatorOrder struct {
-	Action    string             `json:"what"` // evacuate, rejoin, exclude or include
+	Action    string             `json:"what"` // one of the constants above
 	Member    string             `json:"member,omitempty"`
 	Exclusion dispatch.Exclusion `json:"exclusion"`
 }
 
+// handleOrder returns the handler of an order that concerns the dispatcher itself.
+func (s *Server) handleOrder(action string) func(member string, reply admin.Reply) {
+	return func(_ string, reply admin.Reply) { s.executeOrder(operatorOrder{Action: action}, reply) }
+}
+
+// handleExclude answers PUT /api/exclude: the worker gets no new jobs.
 func (s *Server) handleExclude(member string, reply admin.Reply) {
-	s.changeExclusion("exclude", member, s.dispatcher.Exclude(member), reply)
+	s.changeExclusion(actionExclude, member, s.dispatcher.Exclude(member), reply)
 }
 
+// handleInclude answers PUT /api/include, which ends an exclusion.
 func (s *Server) handleInclude(member string, reply admin.Reply) {
-	s.changeExclusion("include", member, s.dispatcher.Include(member), reply)
+	s.changeExclusion(actionInclude, member, s.dispatcher.Include(member), reply)
 }
 
 // changeExclusion executes an order that excludes or includes a worker, unless the dispatcher finds it impossible.
@@ -92,8 +107,8 @@
 func (s *Server) applyOrder(order operatorOrder) error {
 	s.log.Info("program: "+order.Action, zap.String("member", order.Member))
 	switch order.Action {
-	case "evacuate", "rejoin":
-		s.setEvacuated(order.Action == "evacuate", s.loop.Now())
+	case actionEvacuate, actionRejoin:
+		s.setEvacuated(order.Action == actionEvacuate, s.loop.Now())
 		return nil
 	}
 	exclusions := s.dispatcher.Exclusions()
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -80,8 +80,11 @@
 // restartOnlyChanges returns the names of settings that differ in next and that only a restart applies, sorted. The initial
 // membership and the seed matter at a start alone and are not compared.
 func (c *Config) restartOnlyChanges(next *Config) (names []string) {
-	for name, same := range map[string]bool{"name": c.Name == next.Name, "listen": c.listen == next.listen,
-		"settings": bytes.Equal(canonical(c.Settings), canonical(next.Settings))} {
+	for name, same := range map[string]bool{
+		"name":     c.Name == next.Name,
+		"listen":   c.listen == next.listen,
+		"settings": bytes.Equal(canonical(c.Settings), canonical(next.Settings)),
+	} {
 		if !same {
 			names = append(names, name)
 		}
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -39,20 +39,33 @@
 	successor    *handover.Link             // which gets the totals and what is counted since; nil: this process reports by itself
 	totalsSent   bool                       // the successor has the totals
 	deltaTimer   *eventloop.Timer           // until the next message of what was counted since
-	deliverUntil float64                    // Unix time at which the process stops waiting for the last delivery; 0: the last period is not closed yet
+	deliverUntil float64                    // Unix time of the end of the last delivery; 0: the last period is not closed yet
 }
 
 // newReporting opens the outputs and the request log; nil if the operator's file configures none.
 func newReporting(s *Server) (*reporting, error) {
 	operatorConfig := s.config.Operator
-	if len(operatorConfig.Graphite)+len(operatorConfig.Collectd) == 0 && operatorConfig.Telemetry.SpoolDir == "" && operatorConfig.RequestLog == nil {
+	hasReceivers := len(operatorConfig.Graphite)+len(operatorConfig.Collectd) > 0
+	hasSpool := operatorConfig.Telemetry.SpoolDir != ""
+	if !hasReceivers && !hasSpool && operatorConfig.RequestLog == nil {
 		return nil, nil
 	}
 	r := &reporting{server: s, operatorConfig: operatorConfig, outputs: map[string]exporter.Output{}}
-	r.metrics = telemetry.New(telemetry.Options{Settings: s.config.balancerSettings, Classes: s.config.classNames(), Zones: s.config.dispatcherSettings.FailureDomains,
-		Kinds: s.config.dispatcherSettings.Kinds, MaxNodes: *operatorConfig.Telemetry.NodeSeries, WorkerStatus: s.dispatcher.WorkerStatus, Now: s.loop.Now,
-		Log: func(line string) { s.log.Info("telemetry: " + line) }})
-	r.exporter = exporter.New(s.loop, s.log, r.metrics, exporter.Options{DispatcherName: s.config.Name, Interval: operatorConfig.Telemetry.IntervalSeconds, BufferBytes: operatorConfig.Telemetry.MemoryBytes})
+	r.metrics = telemetry.New(telemetry.Options{
+		Settings:     s.config.balancerSettings,
+		Classes:      s.config.classNames(),
+		Zones:        s.config.dispatcherSettings.FailureDomains,
+		Kinds:        s.config.dispatcherSettings.Kinds,
+		MaxNodes:     *operatorConfig.Telemetry.NodeSeries,
+		WorkerStatus: s.dispatcher.WorkerStatus,
+		Now:          s.loop.Now,
+		Log:          func(line string) { s.log.Info("telemetry: " + line) },
+	})
+	r.exporter = exporter.New(s.loop, s.log, r.metrics, exporter.Options{
+		DispatcherName: s.config.Name,
+		Interval:       operatorConfig.Telemetry.IntervalSeconds,
+		BufferBytes:    operatorConfig.Telemetry.MemoryBytes,
+	})
 	next, err := r.prepareReload(operatorConfig)
 	if err != nil {
 		return nil, err
@@ -129,14 +142,19 @@
 // that is logged, and metrics are reported without it.
 func (r *reporting) openSpool(take func(*spool.Recovered)) {
 	settings := r.operatorConfig.Telemetry
+	name := filepath.Base(r.server.config.Name + "-" + r.server.config.Listen)
 	go func() {
-		opened, found, err := spool.Open(settings.SpoolDir, filepath.Base(r.server.config.Name+"-"+r.server.config.Listen), settings.SpoolBytes, r.logError("spool"))
+		opened, found, err := spool.Open(settings.SpoolDir, name, settings.SpoolBytes, r.logError("spool"))
 		r.server.loop.Post(func() {
 			if err != nil {
 				r.server.log.Error("telemetry: no spool, totals do not outlive this process", zap.Error(err))
 				found = &spool.Recovered{}
 			} else {
-				r.server.log.Info("telemetry: spool", zap.Int("periods", len(found.Periods)), zap.Int("torn_files", found.TornFiles), zap.Int("strange_files", found.UnknownFiles))
+				r.server.log.Info("telemetry: spool",
+					zap.Int("periods", len(found.Periods)),
+					zap.Int("torn_files", found.TornFiles),
+					zap.Int("strange_files", found.UnknownFiles),
+				)
 				r.spool = opened
 				r.exporter.SetSpool(opened)
 			}
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -56,7 +56,12 @@
 // sendTotals sends the successor the totals and, unless the spool has them, the undelivered periods, the newest ones if all
 // are too many.
 func (r *reporting) sendTotals(onDisk bool) {
-	message := metricsMessage{Complete: true, Counts: r.metrics.Totals(), Slots: r.metrics.SlotAssignments(), LastTimestamp: r.exporter.LastTimestamp()}
+	message := metricsMessage{
+		Complete:      true,
+		Counts:        r.metrics.Totals(),
+		Slots:         r.metrics.SlotAssignments(),
+		LastTimestamp: r.exporter.LastTimestamp(),
+	}
 	_, message.Latencies = r.metrics.TakeDelta()
 	if !onDisk {
 		message.Series = r.metrics.Table().From(0)
@@ -160,7 +165,12 @@
 		table := &telemetry.SeriesTable{}
 		table.Append(message.Series...)
 		for _, period := range message.Periods {
-			found.Periods = append(found.Periods, &telemetry.Period{Timestamp: period.Timestamp, Interval: period.Interval, Table: table, EncodedValues: period.EncodedValues})
+			found.Periods = append(found.Periods, &telemetry.Period{
+				Timestamp:     period.Timestamp,
+				Interval:      period.Interval,
+				Table:         table,
+				EncodedValues: period.EncodedValues,
+			})
 		}
 		found.Totals = nil // the message's are newer and contain them
 		r.exporter.Restore(found)
--- a/internal/dispatcher/server/reporting_metrics.go
+++ b/internal/dispatcher/server/reporting_metrics.go
@@ -1,47 +1,66 @@
 package server
 
 import (
-	"math"
-
 	"cinderroad/internal/dispatcher/exporter"
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// addReportingMetrics adds the metrics of reporting itself: periods, receivers, spool and request log.
+// addReportingMetrics adds the metrics of reporting itself: periods, receivers, spool and request log. Nothing reads s before
+// the end of a period, so it may be nil where only the documentation is wanted.
 func addReportingMetrics(s *Server, set *telemetry.Set) {
 	add := metricAdder{set}
-	add.counter("telemetry.periods", "periods", "Periods closed.", func() uint64 { return s.reporting.exporter.ClosedPeriods })
+	addPeriodMetrics(add, s)
+	addReceiverMetrics(add, s, "graphite", "Graphite receivers")
+	addReceiverMetrics(add, s, "collectd", "collectds")
+	addSpoolMetrics(add, s)
+	addRequestLogMetrics(add, s)
+}
+
+// addPeriodMetrics adds the metrics of the periods that are closed and wait for receivers.
+func addPeriodMetrics(add metricAdder, s *Server) {
+	add.counter("telemetry.periods", "periods", "Periods closed.",
+		func() uint64 { return s.reporting.exporter.ClosedPeriods })
 	add.gauge("telemetry.periods_held", "periods", "Periods that wait for a receiver.", func() float64 {
 		n, _ := s.reporting.exporter.Ring().Size()
 		return float64(n)
 	})
-	add.counter("telemetry.periods_dropped", "periods", "Periods that had to go before every receiver had them: their points are missing, totals go on.",
+	add.counter("telemetry.periods_dropped", "periods",
+		"Periods that had to go before every receiver had them: their points are missing, totals go on.",
 		func() uint64 { return s.reporting.exporter.Ring().Dropped })
-	for _, kind := range []string{"graphite", "collectd"} {
-		of := map[string]string{"graphite": "Graphite receivers", "collectd": "collectds"}[kind]
-		for _, f := range []struct {
-			name, unit, help string
-			get              func(exporter.OutputStats) uint64
-		}{{"periods", "periods", "Periods that " + of + " have got.", func(s exporter.OutputStats) uint64 { return s.Periods }},
-			{"points", "points", "Points sent to " + of + ", some again after a break.", func(s exporter.OutputStats) uint64 { return s.Points }},
-			{"breaks", "tries", "Tries to deliver to " + of + " that came to nothing.", func(s exporter.OutputStats) uint64 { return s.Failures }},
-			{"refused", "points", "Points that " + of + " would not have.", func(s exporter.OutputStats) uint64 { return s.RejectedPoints }}} {
-			add.counter("telemetry."+kind+"."+f.name, f.unit, f.help, func() uint64 { return f.get(s.reporting.exporter.KindStats(kind)) })
-		}
-	}
-	disk := func(name, unit, help string, has func() bool, get func() uint64) {
-		set.AddFunc(telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}, func() float64 {
-			if !has() {
-				return math.NaN()
-			}
-			return float64(get())
-		})
+}
+
+// addReceiverMetrics adds the metrics of deliveries to all receivers of one kind, which the help texts call receivers.
+func addReceiverMetrics(add metricAdder, s *Server, kind, receivers string) {
+	counter := func(name, unit, help string, get func(exporter.OutputStats) uint64) {
+		add.counter("telemetry."+kind+"."+name, unit, help,
+			func() uint64 { return get(s.reporting.exporter.KindStats(kind)) })
 	}
-	spooled := func() bool { return s.reporting.spool != nil }
-	disk("telemetry.spool_failed", "records", "Records that the disk refused. None without a spool.", spooled, func() uint64 { return s.reporting.spool.WriteErrors() })
-	disk("telemetry.spool_lost", "records", "Records that the disk was too slow for. None without a spool.", spooled, func() uint64 { return s.reporting.spool.Dropped() })
-	logged := func() bool { return s.reporting.requestLog != nil }
-	disk("request_log.lines", "lines", "Lines written to the request log. None without one.", logged, func() uint64 { return s.reporting.requestLog.Lines })
-	disk("request_log.lost", "lines", "Lines that the disk was too slow for. None without a request log.", logged, func() uint64 { return s.reporting.requestLog.DroppedLines() })
-	disk("request_log.failed", "lines", "Lines that the disk refused. None without a request log.", logged, func() uint64 { return s.reporting.requestLog.FailedLines() })
+	counter("periods", "periods", "Periods that "+receivers+" have got.",
+		func(stats exporter.OutputStats) uint64 { return stats.Periods })
+	counter("points", "points", "Points sent to "+receivers+", some again after a break.",
+		func(stats exporter.OutputStats) uint64 { return stats.Points })
+	counter("breaks", "tries", "Tries to deliver to "+receivers+" that came to nothing.",
+		func(stats exporter.OutputStats) uint64 { return stats.Failures })
+	counter("refused", "points", "Points that "+receivers+" would not have.",
+		func(stats exporter.OutputStats) uint64 { return stats.RejectedPoints })
+}
+
+// addSpoolMetrics adds the metrics of the spool; they have no value without one.
+func addSpoolMetrics(add metricAdder, s *Server) {
+	present := func() bool { return s.reporting.spool != nil }
+	add.optionalCounter("telemetry.spool_failed", "records", "Records that the disk refused. None without a spool.", present,
+		func() uint64 { return s.reporting.spool.WriteErrors() })
+	add.optionalCounter("telemetry.spool_lost", "records", "Records that the disk was too slow for. None without a spool.", present,
+		func() uint64 { return s.reporting.spool.Dropped() })
+}
+
+// addRequestLogMetrics adds the metrics of the request log; they have no value without one.
+func addRequestLogMetrics(add metricAdder, s *Server) {
+	present := func() bool { return s.reporting.requestLog != nil }
+	add.optionalCounter("request_log.lines", "lines", "Lines written to the request log. None without one.", present,
+		func() uint64 { return s.reporting.requestLog.Lines })
+	add.optionalCounter("request_log.lost", "lines", "Lines that the disk was too slow for. None without a request log.", present,
+		func() uint64 { return s.reporting.requestLog.DroppedLines() })
+	add.optionalCounter("request_log.failed", "lines", "Lines that the disk refused. None without a request log.", present,
+		func() uint64 { return s.reporting.requestLog.FailedLines() })
 }
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -28,8 +28,16 @@
 		}
 	}
 	if section := file.RequestLog; section != nil && (r.requestLog == nil || !sameRequestLog(section, r.operatorConfig.RequestLog)) {
-		log, err := requestlog.Open(requestlog.Options{Path: section.Path, MaxBytes: section.MaxBytes, KeepFiles: *section.KeepFiles, DispatcherName: r.server.config.Name, Incarnation: auditlog.GenerationName(r.server.startedAt),
-			Classes: r.server.config.classNames(), NodeSlot: r.metrics.NodeSlot, Report: r.logError("request log")})
+		log, err := requestlog.Open(requestlog.Options{
+			Path:           section.Path,
+			MaxBytes:       section.MaxBytes,
+			KeepFiles:      *section.KeepFiles,
+			DispatcherName: r.server.config.Name,
+			Incarnation:    auditlog.GenerationName(r.server.startedAt),
+			Classes:        r.server.config.classNames(),
+			NodeSlot:       r.metrics.NodeSlot,
+			Report:         r.logError("request log"),
+		})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
 		}
@@ -49,8 +57,13 @@
 	all := map[string]func() exporter.Output{}
 	for _, g := range file.Graphite {
 		all[fmt.Sprintf("graphite %+v", g)] = func() exporter.Output {
-			return exporter.NewGraphite(exporter.GraphiteOptions{Address: g.ParsedAddress, Prefix: g.Prefix, Pickle: g.Protocol == "pickle",
-				ConfirmByClose: g.Confirm == "close", Timeout: g.TimeoutSeconds})
+			return exporter.NewGraphite(exporter.GraphiteOptions{
+				Address:        g.ParsedAddress,
+				Prefix:         g.Prefix,
+				Pickle:         g.Protocol == "pickle",
+				ConfirmByClose: g.Confirm == "close",
+				Timeout:        g.TimeoutSeconds,
+			})
 		}
 	}
 	for _, c := range file.Collectd {
@@ -58,8 +71,17 @@
 			if c.Socket != "" {
 				return exporter.NewCollectd(c.Socket, c.TimeoutSeconds)
 			}
-			security := map[string]exporter.Security{"none": exporter.SecurityNone, "sign": exporter.SecuritySign, "encrypt": exporter.SecurityEncrypt}[c.Security]
-			return exporter.NewCollectdNetwork(exporter.CollectdNetworkOptions{Address: c.ParsedAddress, Security: security, Username: c.Username, Password: c.Password})
+			security := map[string]exporter.Security{
+				"none":    exporter.SecurityNone,
+				"sign":    exporter.SecuritySign,
+				"encrypt": exporter.SecurityEncrypt,
+			}[c.Security]
+			return exporter.NewCollectdNetwork(exporter.CollectdNetworkOptions{
+				Address:  c.ParsedAddress,
+				Security: security,
+				Username: c.Username,
+				Password: c.Password,
+			})
 		}
 	}
 	return all
@@ -122,8 +144,12 @@
 	if before.IntervalSeconds != after.IntervalSeconds {
 		r.exporter.SetInterval(after.IntervalSeconds)
 	}
-	for name, same := range map[string]bool{"telemetry.spool_dir": before.SpoolDir == after.SpoolDir, "telemetry.spool_bytes": before.SpoolBytes == after.SpoolBytes,
-		"telemetry.memory_bytes": before.MemoryBytes == after.MemoryBytes, "telemetry.node_series": *before.NodeSeries == *after.NodeSeries} {
+	for name, same := range map[string]bool{
+		"telemetry.spool_dir":    before.SpoolDir == after.SpoolDir,
+		"telemetry.spool_bytes":  before.SpoolBytes == after.SpoolBytes,
+		"telemetry.memory_bytes": before.MemoryBytes == after.MemoryBytes,
+		"telemetry.node_series":  *before.NodeSeries == *after.NodeSeries,
+	} {
 		if !same {
 			restart = append(restart, name)
 		}
--- a/internal/dispatcher/server/server.go
+++ b/internal/dispatcher/server/server.go
@@ -142,8 +142,12 @@
 	}
 	s.dispatcher.Log = func(line string) { log.Info("brain: " + line) }
 	settings := &config.dispatcherSettings
-	s.pool = httpfront.NewPool(loop, log, httpfront.PoolOptions{ConnectTimeout: settings.Limits.ConnectTimeoutS,
-		IdleTimeout: settings.Limits.ConnIdleS, ProbeTimeout: 2 * settings.Limits.ConnectTimeoutS, ReportFields: settings.Report.LoadFields})
+	s.pool = httpfront.NewPool(loop, log, httpfront.PoolOptions{
+		ConnectTimeout: settings.Limits.ConnectTimeoutS,
+		IdleTimeout:    settings.Limits.ConnIdleS,
+		ProbeTimeout:   2 * settings.Limits.ConnectTimeoutS,
+		ReportFields:   settings.Report.LoadFields,
+	})
 	s.pool.SetDispatcher(s.dispatcher)
 	s.limiter = admission.New(loop, config.Limits.MemoryMB)
 	s.front = httpfront.NewFront(loop, log, s.dispatcher, s.pool, s.limiter, &config.balancerSettings)
@@ -151,7 +155,8 @@
 	loop.FreeDescriptor = func() bool {
 		return s.front.EvictIdle() || s.pool.EvictIdle() || s.gearman != nil && s.gearman.EvictIdle()
 	}
-	s.discovery = httpfront.NewDiscoveryClient(loop, log, config.discovery, s.dispatcher, s.pool, settings.FailureDomains, settings.Kinds, config.seed)
+	s.discovery = httpfront.NewDiscoveryClient(loop, log, config.discovery, s.dispatcher, s.pool,
+		settings.FailureDomains, settings.Kinds, config.seed)
 	s.discovery.Instances = config.balancerSettings.Instances
 	s.dispatcher.Discovery = s.discovery
 	if s.reporting, err = newReporting(s); err != nil {
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -96,7 +96,9 @@
 	if u.clientsHandedOver && !u.server.reporting.handedOver() {
 		return false
 	}
-	return (u.predecessor == nil || u.predecessor.Idle()) && (u.successor == nil || u.successor.Idle()) && (!u.clientsHandedOver || u.sessionsInTransit == 0 && u.server.front.SessionCount() == 0)
+	linksIdle := (u.predecessor == nil || u.predecessor.Idle()) && (u.successor == nil || u.successor.Idle())
+	sessionsOwed := u.clientsHandedOver && (u.sessionsInTransit != 0 || u.server.front.SessionCount() != 0)
+	return linksIdle && !sessionsOwed
 }
 
 // HandleUp implements handover.Handler.
--- a/internal/dispatcher/server/upgrade_predecessor.go
+++ b/internal/dispatcher/server/upgrade_predecessor.go
@@ -39,7 +39,10 @@
 	u.stateReceived = true
 	server.applyLimits()
 	server.dispatcher.ApplyExclusions(received.Exclusions)
-	server.log.Info("program: told by the process before", zap.Int64("rev", received.Membership.Revision), zap.Int("members_out", server.dispatcher.ExcludedCount()))
+	server.log.Info("program: told by the process before",
+		zap.Int64("rev", received.Membership.Revision),
+		zap.Int("members_out", server.dispatcher.ExcludedCount()),
+	)
 	if received.EvacuatedSince > 0 {
 		server.setEvacuated(true, min(received.EvacuatedSince, server.loop.Now()))
 	}
@@ -64,7 +67,8 @@
 	err := json.Unmarshal(body, state)
 	if err != nil { // a frame that carries a descriptor has another form
 		var fd int
-		if _, fd, err = u.predecessor.DecodeDescriptorFrame(body, state); err == nil && state.Gearman && u.server.gearman != nil && state.GearmanListen == u.server.config.gearman.Listen {
+		_, fd, err = u.predecessor.DecodeDescriptorFrame(body, state)
+		if err == nil && u.wantsGearmanListener(state) {
 			u.gearmanFD = fd
 		} else if fd >= 0 {
 			unix.Close(fd)
@@ -84,6 +88,14 @@
 	return err
 }
 
+// wantsGearmanListener reports whether the Gearman socket that comes with state is the one that this process listens on.
+func (u *upgrade) wantsGearmanListener(state *handoverState) bool {
+	if !state.Gearman || u.server.gearman == nil {
+		return false
+	}
+	return state.GearmanListen == u.server.config.gearman.Listen
+}
+
 // takeOver opens the fronts and tells the predecessor: membership, exclusions and the balancer's state are in force by now.
 func (u *upgrade) takeOver() {
 	u.deadline.Stop()
@@ -116,9 +128,10 @@
 		return err
 	}
 	u.SessionsAdopted++
-	if err := u.server.loop.Adopt(fd, bytes.Clone(in), func(c *eventloop.Conn) eventloop.Handler {
+	err = u.server.loop.Adopt(fd, bytes.Clone(in), func(c *eventloop.Conn) eventloop.Handler {
 		return u.server.front.Adopt(session, c)
-	}); err != nil {
+	})
+	if err != nil {
 		u.server.log.Warn("program: a session could not be taken over", zap.Error(err))
 	}
 	return u.predecessor.Send(handover.SessionReceived, struct{}{})
--- a/internal/dispatcher/server/upgrade_queries.go
+++ b/internal/dispatcher/server/upgrade_queries.go
@@ -40,21 +40,33 @@
 func (u *upgrade) queryOthers(kind handover.Kind, body []byte, except *handover.Link, done func(yes bool)) bool {
 	pending, answered := 0, false
 	for _, link := range []*handover.Link{u.predecessor, u.successor} {
-		if link == nil || link == except || link == u.predecessor && !u.stateReceived || link == u.successor && kind == handover.CallbackQuery && !u.clientsHandedOver {
+		if link == nil || link == except || !u.takesQueries(link, kind) {
 			continue
 		}
-		if link.Query(kind, body, func(yes bool) {
-			if pending--; !answered && (yes && kind == handover.CallbackQuery || pending == 0) {
+		sent := link.Query(kind, body, func(yes bool) {
+			pending--
+			decided := pending == 0 || yes && kind == handover.CallbackQuery
+			if decided && !answered {
 				answered = true
 				done(yes)
 			}
-		}) {
+		})
+		if sent {
 			pending++
 		}
 	}
 	return pending > 0
 }
 
+// takesQueries reports whether the process at link can answer a query of this kind: a predecessor once it has sent its state,
+// a successor any order, and callbacks once it has the clients.
+func (u *upgrade) takesQueries(link *handover.Link, kind handover.Kind) bool {
+	if link == u.predecessor {
+		return u.stateReceived
+	}
+	return kind != handover.CallbackQuery || u.clientsHandedOver
+}
+
 // forwardOrder has the other processes, except the one that sent it, carry out an order. done is called once: when they
 // have, or when orderTimeout is over.
 func (u *upgrade) forwardOrder(order operatorOrder, except *handover.Link, done func()) {
--- a/internal/dispatcher/server/upgrade_successor.go
+++ b/internal/dispatcher/server/upgrade_successor.go
@@ -38,8 +38,14 @@
 func (u *upgrade) sendState() error {
 	server := u.server
 	addr, list := server.discovery.List()
-	message := handoverState{Discovery: addr.String(), Membership: list, Exclusions: server.dispatcher.Exclusions(),
-		EvacuatedSince: server.front.EvacuatedSince(), Balancer: server.dispatcher.Snapshot(), SendsMetrics: u.handsOverMetrics}
+	message := handoverState{
+		Discovery:      addr.String(),
+		Membership:     list,
+		Exclusions:     server.dispatcher.Exclusions(),
+		EvacuatedSince: server.front.EvacuatedSince(),
+		Balancer:       server.dispatcher.Snapshot(),
+		SendsMetrics:   u.handsOverMetrics,
+	}
 	server.log.Info("program: telling the next process", zap.Int64("rev", list.Revision), zap.Int("members", len(list.Entries)))
 	if server.gearman == nil || !server.serving {
 		return u.successor.Send(handover.State, message)
@@ -55,7 +61,10 @@
 // handOverClients stops accepting clients, which are the successor's from now on.
 func (u *upgrade) handOverClients() {
 	server := u.server
-	server.log.Info("program: the next process takes the clients", zap.Int("sessions", server.front.SessionCount()), zap.Int("open", server.dispatcher.Counts().OpenRequests))
+	server.log.Info("program: the next process takes the clients",
+		zap.Int("sessions", server.front.SessionCount()),
+		zap.Int("open", server.dispatcher.Counts().OpenRequests),
+	)
 	u.clientsHandedOver = true
 	if u.listener != nil { // the successor listens at the path now
 		u.listener.Close()
--- a/internal/dispatcher/server/versions.go
+++ b/internal/dispatcher/server/versions.go
@@ -33,7 +33,11 @@
 	apply := func(addr netip.AddrPort, revision int64, cached bool, changed []httpfront.Entry) {
 		entries := make([]versions.Entry, 0, len(changed))
 		for _, entry := range changed {
-			entries = append(entries, versions.Entry{Worker: entry.UID, State: versionStates[entry.State], Start: int64(max(entry.StartedAtMs, 0))})
+			entries = append(entries, versions.Entry{
+				Worker: entry.UID,
+				State:  versionStates[entry.State],
+				Start:  int64(max(entry.StartedAtMs, 0)),
+			})
 		}
 		table.ApplyList(s.loop.Now(), s.discoverySource(addr), revision, cached, entries)
 		if s.cluster != nil {
@@ -53,7 +57,9 @@
 
 // stopVersionTable lifts all restrictions: the own list alone counts without a cluster.
 func (s *Server) stopVersionTable() {
-	s.versionTable, s.discovery.OnVersion, s.discovery.OnContact = nil, nil, nil
+	s.versionTable = nil
+	s.discovery.OnVersion = nil
+	s.discovery.OnContact = nil
 	s.dispatcher.SetRestrictions(nil)
 	s.resumeSending()
 	s.updateAdmission()
@@ -79,7 +85,12 @@
 			state = loadbalancer.Draining
 		}
 		restrictions[worker] = dispatch.Restriction{State: state, StartedAt: float64(restriction.Start) / 1000}
-		s.log.Info("versions: withheld on a peer's word", zap.String("worker", worker), zap.Stringer("state", restriction.State), zap.Int64("rev", restriction.Revision), zap.String("from", restriction.From))
+		s.log.Info("versions: withheld on a peer's word",
+			zap.String("worker", worker),
+			zap.Stringer("state", restriction.State),
+			zap.Int64("rev", restriction.Revision),
+			zap.String("from", restriction.From),
+		)
 	}
 	if len(restrictions) == 0 {
 		s.log.Info("versions: nothing is withheld any more")
