--- a/internal/dispatcher/server/cluster_audit_test.go
+++ b/internal/dispatcher/server/cluster_audit_test.go
@@ -66,9 +66,27 @@
 // against what its sender knew, and entries that are removed.
 // All audits are of the files of one run, and so it is one function.
 func TestFleetAudit(t *testing.T) {
-	r := fleetOf(t, processcluster.Options{JobsPerSecond: 40})
-	n := len(r.Members)
-	r.WaitConverged(n)
+	r, drained := runWithDrains(t)
+	files := r.AuditFiles()
+	if len(files) != 2*len(r.Members) {
+		t.Fatalf("%v", files)
+	}
+	clean, status := runAudit(t, files...)
+	findings := len(clean.Violations) + len(clean.Gaps) + len(clean.Inconclusive)
+	if status != 0 || findings > 0 || clean.Judged != clean.Attempts || clean.Judged == 0 {
+		t.Errorf("status %d: %+v", status, clean)
+	}
+	shifted := shiftClocks(t, files, map[string]float64{"d00": -2, "d03": 2})
+	checkShiftedClocks(t, shifted, clean)
+	checkPlantedFaults(t, plantFaults(t, shifted, drained), drained)
+}
+
+// runWithDrains runs a cluster in which one runner is drained twice, while one member learns of it by its peers alone. It
+// returns the cluster once all members know each other's clocks, and the name of that runner.
+func runWithDrains(t *testing.T) (r *processcluster.Cluster, drained string) {
+	t.Helper()
+	r = fleetOf(t, processcluster.Options{JobsPerSecond: 40})
+	r.WaitConverged(len(r.Members))
 	slow, drains := r.Members[1], r.Runners[2]
 	slow.DiscoveryLink().SetLink(receivers.Link{Blackhole: true}) // its peers inform it
 	for _, state := range []string{"draining", "ready", "draining"} {
@@ -85,54 +103,66 @@
 	})
 	r.Eventually("all have heard each other's clocks", func() bool {
 		clocks = r.Audit().Clocks
-		return !slices.ContainsFunc(clocks, func(o auditlog.ClockOffset) bool { return !o.Known })
+		return !slices.ContainsFunc(clocks, func(clock auditlog.ClockOffset) bool { return !clock.Known })
 	})
 	r.Check()
-	files := r.AuditFiles()
-	if len(files) != 2*n {
-		t.Fatalf("%v", files)
-	}
-	clean, status := runAudit(t, files...)
-	if status != 0 || len(clean.Violations)+len(clean.Gaps)+len(clean.Inconclusive) > 0 || clean.Judged != clean.Attempts || clean.Judged == 0 {
-		t.Errorf("status %d: %+v", status, clean)
-	}
+	return r, drains.Name
+}
 
-	skews := map[string]float64{"d00": -2, "d03": 2}
-	shifted := rewrite(t, files, func(name string, line map[string]any) bool {
-		line["time"] = line["time"].(float64) + skews[name[:3]]
+// shiftClocks copies files as if clocks of members had been off by the seconds given.
+func shiftClocks(t *testing.T, files []string, seconds map[string]float64) []string {
+	t.Helper()
+	return rewrite(t, files, func(name string, line map[string]any) bool {
+		line["time"] = line["time"].(float64) + seconds[name[:3]]
 		if line["what"] == "clock" {
-			line["theirs"] = line["theirs"].(float64) + skews[line["from"].(string)]
+			line["theirs"] = line["theirs"].(float64) + seconds[line["from"].(string)]
 		}
 		return true
 	})
-	skewed, status := runAudit(t, shifted...)
-	if status != 0 || len(skewed.Violations) > 0 || len(skewed.Inconclusive) > 0 || len(skewed.Stragglers) != len(clean.Stragglers) {
-		t.Errorf("status %d, with clocks off: %+v", status, skewed)
+}
+
+// checkShiftedClocks checks that an audit of files in which the clocks of d00 and d03 are 4 s apart finds just that, and
+// otherwise what it found with the clocks as they were.
+func checkShiftedClocks(t *testing.T, files []string, clean *auditlog.Report) {
+	t.Helper()
+	report, status := runAudit(t, files...)
+	findings := len(report.Violations) + len(report.Inconclusive)
+	if status != 0 || findings > 0 || len(report.Stragglers) != len(clean.Stragglers) {
+		t.Errorf("status %d, with clocks off: %+v", status, report)
 	}
 	ahead := map[string]float64{}
-	for _, o := range skewed.Clocks {
-		ahead[o.Dispatcher] = o.Lead
+	for _, clock := range report.Clocks {
+		ahead[clock.Dispatcher] = clock.Lead
 	}
 	if got := ahead["d03"] - ahead["d00"]; got < 3.9 || got > 4.1 {
 		t.Errorf("the clocks of d00 and d03 are found to be %.3f s apart, which are 4", got)
 	}
-	t.Logf("clocks: %+v", skewed.Clocks)
+	t.Logf("clocks: %+v", report.Clocks)
+}
 
-	planted, last, at := false, 0.0, 0.0
-	faulty := rewrite(t, shifted, func(name string, line map[string]any) bool {
+// plantFaults copies files without one entry of d02, and with one attempt that d01 makes at a runner after it was told that
+// this one is drained.
+func plantFaults(t *testing.T, files []string, drained string) []string {
+	t.Helper()
+	const grace = 0.6 // seconds: more than the rules allow for
+	planted := false
+	entry, toldAt := 0.0, 0.0 // number and time of d01's last entry that tells of a drain
+	faulty := rewrite(t, files, func(name string, line map[string]any) bool {
 		switch {
 		case name == "d02.requests.ledger" && line["n"].(float64) == 3:
 			return false
 		case name == "d01.requests.ledger":
-			for _, w := range asList(line["workers"]) {
-				if w["name"] == drains.Name && w["state"] == "draining" {
-					last, at = line["n"].(float64), line["time"].(float64)
+			for _, worker := range asList(line["workers"]) {
+				if worker["name"] == drained && worker["state"] == "draining" {
+					entry, toldAt = line["n"].(float64), line["time"].(float64)
 				}
 			}
-		case name == "d01.requests" && !planted && last > 0 && line["time"].(float64) > at+0.6: // beyond the grace
-			for _, try := range asList(line["tries"]) {
-				if mark, ok := try["mark"].(float64); ok && mark >= last && !planted { // one attempt, also of a request that was retried
-					try["node"], planted = drains.Name, true
+		case name == "d01.requests" && !planted && entry > 0 && line["time"].(float64) > toldAt+grace:
+			for _, attempt := range asList(line["tries"]) {
+				mark, ok := attempt["mark"].(float64)
+				if ok && mark >= entry && !planted { // one attempt, also of a request that was retried
+					attempt["node"] = drained
+					planted = true
 				}
 			}
 		}
@@ -141,12 +171,21 @@
 	if !planted {
 		t.Fatal("no send of d01 after the last drain to be changed")
 	}
-	report, status := runAudit(t, faulty...)
+	return faulty
+}
+
+// checkPlantedFaults checks that an audit finds what plantFaults has done, and nothing else.
+func checkPlantedFaults(t *testing.T, files []string, drained string) {
+	t.Helper()
+	report, status := runAudit(t, files...)
 	text := fmt.Sprint(report.Violations, report.Gaps)
-	if status != 1 || len(report.Violations) != 1 || report.Violations[0].Dispatcher != "d01" || report.Violations[0].Node != drains.Name || report.Violations[0].Attempts != 1 {
+	if status != 1 || len(report.Violations) != 1 {
+		t.Errorf("status %d: %s", status, text)
+	} else if found := report.Violations[0]; found.Dispatcher != "d01" || found.Node != drained || found.Attempts != 1 {
 		t.Errorf("status %d: %s", status, text)
 	}
-	if !slices.ContainsFunc(report.Gaps, func(h string) bool { return strings.HasPrefix(h, "d02: entries 3 to 3") }) || len(report.Gaps) != 1 {
+	removed := func(gap string) bool { return strings.HasPrefix(gap, "d02: entries 3 to 3") }
+	if !slices.ContainsFunc(report.Gaps, removed) || len(report.Gaps) != 1 {
 		t.Errorf("holes: %v", report.Gaps)
 	}
 }
--- a/internal/dispatcher/server/cluster_cost_test.go
+++ b/internal/dispatcher/server/cluster_cost_test.go
@@ -23,7 +23,16 @@
 	costs := map[string][]float64{}
 	turn := func(name, path string, members int, off bool) {
 		t.Run(name, func(t *testing.T) {
-			r := processcluster.Start(t, processcluster.Options{Program: path, Members: members, Runners: 4, JobsPerSecond: 400, JobSeconds: 0.002, RunnerSlots: 16, Standalone: off, ProbeIntervalSeconds: 1})
+			r := processcluster.Start(t, processcluster.Options{
+				Program:              path,
+				Members:              members,
+				Runners:              4,
+				JobsPerSecond:        400,
+				JobSeconds:           0.002,
+				RunnerSlots:          16,
+				Standalone:           off,
+				ProbeIntervalSeconds: 1,
+			})
 			m := r.Members[0]
 			for _, o := range r.Members[1:] { // running, and idle
 				o.StopClients()
--- a/internal/dispatcher/server/cluster_lease_test.go
+++ b/internal/dispatcher/server/cluster_lease_test.go
@@ -140,7 +140,8 @@
 	r.WaitConverged(n)
 	served := func() {
 		t.Helper()
-		for end := time.Now().Add(processcluster.LeaseSeconds*time.Second + 4*time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		end := time.Now().Add(processcluster.LeaseSeconds*time.Second + 4*time.Second)
+		for ; time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			if out := rejectingCount(r); out > 0 {
 				t.Fatalf("%d are out", out)
 			}
--- a/internal/dispatcher/server/cluster_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -202,7 +202,13 @@
 	r := fleetOf(t, processcluster.Options{})
 	n := len(r.Members)
 	r.WaitConverged(n)
-	r.SetAllLinks(receivers.Link{LossRate: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, DuplicateRate: 0.05, ReorderRate: 0.05})
+	r.SetAllLinks(receivers.Link{
+		LossRate:      0.2,
+		Delay:         5 * time.Millisecond,
+		Jitter:        20 * time.Millisecond,
+		DuplicateRate: 0.05,
+		ReorderRate:   0.05,
+	})
 	time.Sleep(15 * time.Second)
 	refuted := 0
 	for _, m := range r.Members {
@@ -297,7 +303,10 @@
 		return strings.Contains(first.LogText(), "another process has this name")
 	})
 	r.Eventually("the later one is the member", func() bool {
-		return r.Converged([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) && incarnationOf(r.Members[0], twin.Name) == incarnationOf(twin, twin.Name)
+		if !r.Converged([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) {
+			return false
+		}
+		return incarnationOf(r.Members[0], twin.Name) == incarnationOf(twin, twin.Name)
 	})
 	r.Check()
 }
@@ -309,7 +318,14 @@
 	t.Parallel()
 	for _, off := range []bool{true, false} {
 		t.Run(fmt.Sprint("off=", off), func(t *testing.T) {
-			r := fleetOf(t, processcluster.Options{Members: 8, Runners: 1, JobsPerSecond: 60, JobSeconds: 0.02, RunnerSlots: 2, Standalone: off})
+			r := fleetOf(t, processcluster.Options{
+				Members:       8,
+				Runners:       1,
+				JobsPerSecond: 60,
+				JobSeconds:    0.02,
+				RunnerSlots:   2,
+				Standalone:    off,
+			})
 			cold := r.Runners[0]
 			time.Sleep(2 * time.Second) // while it is warm the members learn the cost of a job
 			span := func(what string) {
@@ -437,8 +453,16 @@
 
 func datagram(t *testing.T, fleet, name string) []byte {
 	t.Helper()
-	b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: fleet, Number: 1, From: membership.Record{Name: name, Generation: 1,
-		Addr: addrOf("127.0.0.1:9")}})
+	b, err := membership.Encode(&membership.Message{
+		Kind:    membership.Update,
+		Cluster: fleet,
+		Number:  1,
+		From: membership.Record{
+			Name:       name,
+			Generation: 1,
+			Addr:       addrOf("127.0.0.1:9"),
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -461,14 +485,26 @@
 	for i := range 150 {
 		var lies []membership.Record
 		for _, m := range r.Members {
-			victim := membership.Record{Name: m.Name, Addr: addrOf(m.Relay.Addr()), Generation: incarnationOf(m, m.Name), Incarnation: uint64(i), State: membership.State(1 + i%3), SuspectedBy: "liar"}
+			victim := membership.Record{
+				Name:        m.Name,
+				Addr:        addrOf(m.Relay.Addr()),
+				Generation:  incarnationOf(m, m.Name),
+				Incarnation: uint64(i),
+				State:       membership.State(1 + i%3),
+				SuspectedBy: "liar",
+			}
 			if i%5 == 4 {
 				victim.Generation, victim.Addr, victim.State = life*2, here, membership.Alive
 			}
 			lies = append(lies, victim)
 		}
-		b, err := membership.Encode(&membership.Message{Kind: membership.Update, Cluster: r.ClusterName, Number: uint64(i + 1), Records: lies,
-			From: membership.Record{Name: "liar", Generation: life, Addr: here}})
+		b, err := membership.Encode(&membership.Message{
+			Kind:    membership.Update,
+			Cluster: r.ClusterName,
+			Number:  uint64(i + 1),
+			Records: lies,
+			From:    membership.Record{Name: "liar", Generation: life, Addr: here},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatcher/server/cost_test.go
+++ b/internal/dispatcher/server/cost_test.go
@@ -107,11 +107,14 @@
 	stalled.collectd.SetStalled(false)
 	var b strings.Builder
 	for _, name := range names {
-		x, y := perJob[name], slowest[name]
-		slices.Sort(x)
-		slices.Sort(y)
-		fmt.Fprintf(&b, "\n%-8s CPU a job %.1f µs (%.1f to %.1f), p99 %.2f ms (%.2f to %.2f), %.1f MB", name, x[len(x)/2], x[0], x[len(x)-1],
-			y[len(y)/2], y[0], y[len(y)-1], groups[name].harness.residentMB())
+		cpu, p99 := perJob[name], slowest[name]
+		slices.Sort(cpu)
+		slices.Sort(p99)
+		fmt.Fprintf(&b, "\n%-8s CPU a job %.1f µs (%.1f to %.1f), p99 %.2f ms (%.2f to %.2f), %.1f MB",
+			name,
+			cpu[len(cpu)/2], cpu[0], cpu[len(cpu)-1],
+			p99[len(p99)/2], p99[0], p99[len(p99)-1],
+			groups[name].harness.residentMB())
 	}
 	t.Log(b.String())
 }
--- a/internal/dispatcher/server/fragments_test.go
+++ b/internal/dispatcher/server/fragments_test.go
@@ -49,7 +49,9 @@
 	w.sendDiscoveryLine(`{"rev":5,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
 	w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 5`) })
 	c := w.dial()
-	writeBytewise(c, "POST /score/a HTTP/1.1\r\nX-Call-Id: p1\r\nX-Budget-Ms: 4900\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
+	writeBytewise(c, "POST /score/a HTTP/1.1\r\nX-Call-Id: p1\r\nX-Budget-Ms: 4900\r\n"+
+		"Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"+
+		"3\r\nabc\r\n0\r\n\r\n")
 	if got := readUntilClosed(c); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "whole") {
 		t.Errorf("the client was told %q", got)
 	}
--- a/internal/dispatcher/server/gearman_test.go
+++ b/internal/dispatcher/server/gearman_test.go
@@ -208,72 +208,112 @@
 	}
 }
 
+// unreliableWorkers are workers that end a job badly at its first run if its data says so: "drop" has the worker disconnect
+// after a status and connect anew, "fail" has it report a failure.
+type unreliableWorkers struct {
+	gearman *gearmanHarness
+	mu      sync.Mutex
+	begun   map[string]bool // by the job's data
+}
+
+// connect starts one worker.
+func (w *unreliableWorkers) connect(grab gm.Kind) {
+	conn := w.gearman.dial()
+	conn.serveJobs(grab, func(handle, function, data string) bool {
+		firstRun := w.begin(data)
+		switch {
+		case firstRun && strings.Contains(data, "drop"): // it has reported a status, so it may have run
+			conn.send(gm.WorkStatus, handle, "1", "2")
+			conn.Close()
+			w.connect(grab)
+			return true
+		case strings.Contains(data, "fail") && w.gearman.runCount(data) == 1:
+			conn.send(gm.WorkFail, handle)
+		default:
+			conn.echo(handle, function, data)
+		}
+		return false
+	}, "safe", "keyed", "once")
+}
+
+// begin records a run of a job, and reports whether it is the first.
+func (w *unreliableWorkers) begin(data string) (first bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	first = !w.begun[data]
+	w.begun[data] = true
+	return first
+}
+
+// jobOutcome is what became of a job: its final answers, its runs at workers, and whether it was served.
+type jobOutcome struct {
+	Ends, Runs int
+	Served     bool
+}
+
+// countingClient submits jobs one at a time, and counts their final answers: what is counted is ends and repeats, not how a
+// jam is refused.
+type countingClient struct {
+	*gearmanConn
+	names    map[string]string     // data of jobs, by handle
+	outcomes map[string]jobOutcome // by data
+}
+
+// run submits a job and reads until a job has ended.
+func (c *countingClient) run(submit gm.Kind, function, name string) {
+	t := c.harness.t
+	t.Helper()
+	c.send(submit, function, "", name)
+	c.names[c.want(gm.JobCreated).Args[0]] = name
+	for {
+		p, ok := c.next()
+		if !ok {
+			t.Fatal("the connection ended")
+		}
+		if p.Kind != gm.WorkComplete && p.Kind != gm.WorkFail {
+			continue
+		}
+		ended := c.names[p.Args[0]]
+		c.outcomes[ended] = jobOutcome{
+			Ends:   c.outcomes[ended].Ends + 1,
+			Runs:   c.harness.runCount(ended),
+			Served: p.Kind == gm.WorkComplete && p.Args[1] == "did "+ended,
+		}
+		return
+	}
+}
+
+// expectedOutcome returns what becomes of a job whose first run ends as how says.
+func expectedOutcome(function, how string) jobOutcome {
+	switch {
+	case how == "plain":
+		return jobOutcome{Ends: 1, Runs: 1, Served: true}
+	case function == "once": // it may have run: no retry
+		return jobOutcome{Ends: 1, Runs: 1, Served: false}
+	}
+	return jobOutcome{Ends: 1, Runs: 2, Served: true}
+}
+
 // TestGearmanOneResultPerJob checks that each job has one final answer and no more retries than its class allows, while
 // workers disconnect after a status, fail, and leave. It is one scenario over shared connections, and so one function.
 func TestGearmanOneResultPerJob(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
-	var once sync.Mutex
-	first := map[string]bool{} // data whose first run ends badly
-	for i, grab := range []gm.Kind{gm.GrabJob, gm.GrabJobUniq, gm.GrabJobAll, gm.GrabJobUniq, gm.GrabJobUniq, gm.GrabJobUniq} {
-		var serve func()
-		serve = func() {
-			c := g.dial()
-			c.serveJobs(grab, func(handle, function, data string) bool {
-				once.Lock()
-				bad := !first[data] && strings.Contains(data, "drop")
-				first[data] = true
-				once.Unlock()
-				switch {
-				case bad: // it has reported a status, so it may have run
-					c.send(gm.WorkStatus, handle, "1", "2")
-					c.Close()
-					serve()
-					return true
-				case strings.Contains(data, "fail") && g.runCount(data) == 1:
-					c.send(gm.WorkFail, handle)
-				default:
-					c.echo(handle, function, data)
-				}
-				return false
-			}, "safe", "keyed", "once")
-		}
-		if serve(); i == 0 {
-			g.eventually("first worker", func() bool { return strings.Contains(g.admin("status", ".\n"), "once\t0\t0\t1") })
-		}
+	workers := &unreliableWorkers{gearman: g, begun: map[string]bool{}}
+	workers.connect(gm.GrabJob)
+	g.eventually("first worker", func() bool { return strings.Contains(g.admin("status", ".\n"), "once\t0\t0\t1") })
+	for _, grab := range []gm.Kind{gm.GrabJobUniq, gm.GrabJobAll, gm.GrabJobUniq, gm.GrabJobUniq, gm.GrabJobUniq} {
+		workers.connect(grab)
 	}
 	g.eventually("all workers", func() bool { return strings.Contains(g.admin("status", ".\n"), "once\t0\t0\t6") })
-	client := g.dial()
-	type end struct {
-		Ends, Runs int
-		Served     bool
-	}
-	data, got, want := map[string]string{}, map[string]end{}, map[string]end{}
-	for _, f := range []string{"safe", "keyed", "once"} {
+
+	client := &countingClient{gearmanConn: g.dial(), names: map[string]string{}, outcomes: map[string]jobOutcome{}}
+	want := map[string]jobOutcome{}
+	for _, function := range []string{"safe", "keyed", "once"} {
 		for _, how := range []string{"plain", "drop", "fail"} {
-			for n := range 3 {
-				name := fmt.Sprint(f, " ", how, " ", n)
-				client.send(map[int]gm.Kind{0: gm.SubmitJob, 1: gm.SubmitJobHigh, 2: gm.SubmitJobLow}[n], f, "", name)
-				data[client.want(gm.JobCreated).Args[0]] = name
-				// One job at a time: what is counted is ends and repeats, not how a jam is refused.
-				for ends := 0; ends == 0; {
-					p, ok := client.next()
-					if !ok {
-						t.Fatal("the connection ended")
-					}
-					if p.Kind == gm.WorkComplete || p.Kind == gm.WorkFail {
-						ends++
-						e := got[data[p.Args[0]]]
-						got[data[p.Args[0]]] = end{e.Ends + 1, g.runCount(data[p.Args[0]]), p.Kind == gm.WorkComplete && p.Args[1] == "did "+data[p.Args[0]]}
-					}
-				}
-				switch {
-				case how == "plain":
-					want[name] = end{1, 1, true}
-				case f == "once": // it may have run: no retry
-					want[name] = end{1, 1, false}
-				default:
-					want[name] = end{1, 2, true}
-				}
+			for n, submit := range []gm.Kind{gm.SubmitJob, gm.SubmitJobHigh, gm.SubmitJobLow} {
+				name := fmt.Sprint(function, " ", how, " ", n)
+				client.run(submit, function, name)
+				want[name] = expectedOutcome(function, how)
 			}
 		}
 	}
@@ -281,7 +321,7 @@
 	if p, _ := client.next(); p.Kind != gm.EchoRes { // anything before it would be a second answer
 		t.Errorf("after the last answer: %v", p)
 	}
-	if diff := cmp.Diff(want, got); diff != "" {
+	if diff := cmp.Diff(want, client.outcomes); diff != "" {
 		t.Errorf("ends and runs by job (-want +got):\n%s", diff)
 	}
 }
@@ -292,7 +332,8 @@
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	caller := g.dial()
 	for i := range 8 {
-		caller.send([]gm.Kind{gm.SubmitJobBg, gm.SubmitJobHighBg, gm.SubmitJobLowBg}[i%3], "keyed", fmt.Sprint("u", i), fmt.Sprint("job ", i))
+		submit := []gm.Kind{gm.SubmitJobBg, gm.SubmitJobHighBg, gm.SubmitJobLowBg}[i%3]
+		caller.send(submit, "keyed", fmt.Sprint("u", i), fmt.Sprint("job ", i))
 		caller.want(gm.JobCreated)
 	}
 	handle := ""
@@ -374,7 +415,10 @@
 func TestGearmanFailures(t *testing.T) {
 	g := startGearmanHarness(t, options{cold: 0.001}, 0.4)
 	client := g.dial()
-	submit := func(function, data string) { client.send(gm.SubmitJob, function, "", data); client.want(gm.JobCreated) }
+	submit := func(function, data string) {
+		client.send(gm.SubmitJob, function, "", data)
+		client.want(gm.JobCreated)
+	}
 
 	submit("once", "nobody to do it") // a refusal: when to come back, then the failure
 	if p := client.want(gm.WorkWarning); !strings.Contains(p.Args[1], "retry-after=") {
@@ -422,8 +466,12 @@
 	if got := g.admin("workers", ".\n"); !strings.Contains(got, "127.0.0.1 stand-in : safe\n") {
 		t.Errorf("workers: %q", got)
 	}
-	for command, want := range map[string]string{"version": "OK cinderroad\r\n", "maxqueue safe 3": "OK\r\n",
-		"shutdown": "ERR NOT_ALLOWED allow_shutdown+is+off\r\n", "nonsense": "ERR UNKNOWN_COMMAND Unknown+server+command\r\n"} {
+	for command, want := range map[string]string{
+		"version":         "OK cinderroad\r\n",
+		"maxqueue safe 3": "OK\r\n",
+		"shutdown":        "ERR NOT_ALLOWED allow_shutdown+is+off\r\n",
+		"nonsense":        "ERR UNKNOWN_COMMAND Unknown+server+command\r\n",
+	} {
 		if got := g.admin(command, "\r\n"); got != want {
 			t.Errorf("%s: %q", command, got)
 		}
--- a/internal/dispatcher/server/harness_test.go
+++ b/internal/dispatcher/server/harness_test.go
@@ -124,8 +124,13 @@
 // startHarness starts a dispatcher with the runners of targets in its initial list.
 func startHarness(t *testing.T, o options, targets ...string) *harness {
 	t.Helper()
-	w := &harness{t: t, log: &lockedBuffer{}, changed: make(chan struct{}), client: &http.Client{Timeout: 20 * time.Second},
-		callbacksInFlight: &atomic.Int64{}}
+	w := &harness{
+		t:                 t,
+		log:               &lockedBuffer{},
+		changed:           make(chan struct{}),
+		client:            &http.Client{Timeout: 20 * time.Second},
+		callbacksInFlight: &atomic.Int64{},
+	}
 	w.discovery = httptest.NewServer(http.HandlerFunc(w.watch))
 	t.Cleanup(w.discovery.CloseClientConnections)
 	if w.addr = o.listen; w.addr == "" {
@@ -146,10 +151,15 @@
 	if o.name == "" {
 		o.name = "n0"
 	}
-	w.config = map[string]any{"name": o.name, "listen": w.addr, "discovery": strings.TrimPrefix(w.discovery.URL, "http://"),
-		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1, "memory_mb": cmp.Or(o.memory, 192), "sockets": o.sockets},
-		"known":    json.RawMessage(`{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`),
-		"settings": json.RawMessage(settingsOf(o))}
+	w.config = map[string]any{
+		"name":      o.name,
+		"listen":    w.addr,
+		"discovery": strings.TrimPrefix(w.discovery.URL, "http://"),
+		"seed":      "8c1f30d27a5be964",
+		"limits":    map[string]any{"cores": 1, "memory_mb": cmp.Or(o.memory, 192), "sockets": o.sockets},
+		"known":     json.RawMessage(`{"rev":1,"all":true,"targets":[` + strings.Join(targets, ",") + `]}`),
+		"settings":  json.RawMessage(settingsOf(o)),
+	}
 	w.start(o)
 	return w
 }
@@ -199,8 +209,16 @@
 // startSuccessor starts another process of the dispatcher, which takes over from h's.
 func (h *harness) startSuccessor(o options) *harness {
 	h.t.Helper()
-	successor := &harness{t: h.t, addr: h.addr, log: &lockedBuffer{}, config: maps.Clone(h.config), discovery: h.discovery, client: h.client, callbacksInFlight: h.callbacksInFlight,
-		calls: 1 << 20}
+	successor := &harness{
+		t:                 h.t,
+		addr:              h.addr,
+		log:               &lockedBuffer{},
+		config:            maps.Clone(h.config),
+		discovery:         h.discovery,
+		client:            h.client,
+		callbacksInFlight: h.callbacksInFlight,
+		calls:             1 << 20,
+	}
 	successor.start(o)
 	return successor
 }
@@ -345,7 +363,10 @@
 	u.server.Listener.Close()
 	u.server.Listener = l
 	u.server.Start()
-	t.Cleanup(func() { u.server.CloseClientConnections(); u.server.Close() })
+	t.Cleanup(func() {
+		u.server.CloseClientConnections()
+		u.server.Close()
+	})
 	return u
 }
 
@@ -359,6 +380,20 @@
 	return ids
 }
 
+// newNamedRunners starts runners, named s-0 and so on, that serve each job with their own name as its result. of returns
+// their dispatcher, which may be started after them, before the first job.
+func newNamedRunners(t *testing.T, count int, of func() *harness) (runners []*runner) {
+	t.Helper()
+	for i := range count {
+		uid := fmt.Sprint("s-", i)
+		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) {
+			of().replyWith(uid, uid)(n, rw, r)
+		}))
+	}
+	return runners
+}
+
+// jobs returns the number of jobs that arrived.
 func (u *runner) jobs() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -379,12 +414,18 @@
 	}
 }
 
+// postCallback makes a callback for a job: rest is what it says besides the job's id and the worker that has it.
+func postCallback(client *http.Client, addr, id, from, rest string) (*http.Response, error) {
+	body := fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, from, rest)
+	return client.Post("http://"+addr+"/_jobs/news", "application/json", strings.NewReader(body))
+}
+
 // reportResult makes a callback and checks that it was accepted.
 func (h *harness) reportResult(id, from, rest string) {
 	h.t.Helper()
 	h.callbacksInFlight.Add(1)
 	defer h.callbacksInFlight.Add(-1)
-	r, err := http.Post("http://"+h.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, from, rest)))
+	r, err := postCallback(http.DefaultClient, h.addr, id, from, rest)
 	if err != nil {
 		h.t.Errorf("call-back: %v", err)
 		return
@@ -412,8 +453,13 @@
 	id := fmt.Sprintf("%016x", h.calls)
 	h.mu.Unlock()
 	req, _ := http.NewRequest("POST", "http://"+h.addr+"/"+class+"/7f3a", strings.NewReader("payload"))
-	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Budget-Ms": fmt.Sprint(budget),
-		"Idempotency-Key": "key-" + id, "X-Call-Info": "slots=1,memory=0.5"} {
+	for name, value := range map[string]string{
+		"X-Call-Id":       id,
+		"X-Call-Class":    class,
+		"X-Budget-Ms":     fmt.Sprint(budget),
+		"Idempotency-Key": "key-" + id,
+		"X-Call-Info":     "slots=1,memory=0.5",
+	} {
 		req.Header.Set(name, value)
 	}
 	r, err := h.client.Do(req)
--- a/internal/dispatcher/server/jobs_test.go
+++ b/internal/dispatcher/server/jobs_test.go
@@ -76,9 +76,15 @@
 		end, class   string
 		status, jobs int // jobs that the runners get together
 	}{
-		{"rejected", "once", 200, 2}, {"returned", "once", 200, 2},
-		{"plain 503", "once", 500, 1}, {"reset", "once", 500, 1}, {"failed", "once", 500, 1}, {"lost", "once", 500, 1},
-		{"reset", "score", 200, 2}, {"failed", "score", 200, 2}, {"failed", "charge", 200, 2},
+		{"rejected", "once", 200, 2},
+		{"returned", "once", 200, 2},
+		{"plain 503", "once", 500, 1},
+		{"reset", "once", 500, 1},
+		{"failed", "once", 500, 1},
+		{"lost", "once", 500, 1},
+		{"reset", "score", 200, 2},
+		{"failed", "score", 200, 2},
+		{"failed", "charge", 200, 2},
 	} {
 		t.Run(tc.end+" "+tc.class, func(t *testing.T) {
 			t.Parallel()
@@ -136,15 +142,12 @@
 // list or loses a change, and against a watch that is not renewed.
 func TestDiscoveryUpdates(t *testing.T) {
 	var w *harness
-	var runners []*runner
-	for i := range 2 {
-		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith(uid, uid)(n, rw, r) }))
-	}
+	runners := newNamedRunners(t, 2, func() *harness { return w })
 	w = startHarness(t, options{}, runners[0].target("ready", 0))
 	w.sendDiscoveryLine(`{"rev":2,"all":false,"targets":[` + runners[0].target("draining", 0) + `,` + runners[1].target("ready", 1) + `]}`)
 	// An entry that makes no sense holds up neither the others nor the watch, and takes no backend off the list.
-	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[` + runners[0].target("draining", 0) + `,{"uid":"s-1","endpoint":"x","state":"ready"}]}`)
+	bad := `{"uid":"s-1","endpoint":"x","state":"ready"}`
+	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[` + runners[0].target("draining", 0) + `,` + bad + `]}`)
 	w.eventually("bad entry", func() bool { return strings.Contains(w.log.String(), "bad entry dropped") })
 	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 		t.Errorf("after a bad entry: %d %q", status, body)
--- a/internal/dispatcher/server/metrics_test.go
+++ b/internal/dispatcher/server/metrics_test.go
@@ -21,7 +21,8 @@
 	}
 	var w *harness
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
-	w = startHarness(t, options{args: []string{"-graphite", graphite.Addr(), "-collectd", path, "-metrics-every", "0.1"}}, u.target("ready", 1))
+	args := []string{"-graphite", graphite.Addr(), "-collectd", path, "-metrics-every", "0.1"}
+	w = startHarness(t, options{args: args}, u.target("ready", 1))
 	if status, _, _ := w.requestJob("score", 4000); status != 200 {
 		t.Fatal(status)
 	}
@@ -35,7 +36,10 @@
 		{&collectd.Store, "n0/cinderroad/derive-reqs_served"},
 		{&collectd.Store, "n0/cinderroad/derive-nodes_milano_two-core_1_0_ok"},
 	} {
-		w.eventually(tc.series, func() bool { v, ok := tc.of.Last(tc.series); return ok && v == 1 })
+		w.eventually(tc.series, func() bool {
+			value, ok := tc.of.Last(tc.series)
+			return ok && value == 1
+		})
 	}
 	for _, s := range []*receivers.Store{&graphite.Store, &collectd.Store} {
 		if bad := s.Malformed(); len(bad) > 0 {
--- a/internal/dispatcher/server/misbehaving_peers_test.go
+++ b/internal/dispatcher/server/misbehaving_peers_test.go
@@ -247,7 +247,8 @@
 	}
 	w = startHarness(t, options{single: single}, targets...)
 	for i := range 30 {
-		if got := w.sendRaw(fmt.Sprintf("POST /score/bad HTTP/1.1\r\nX-Call-Id: b%d\r\nX-Budget-Ms: 4000\r\nConnection: close\r\n\r\n", i)); !strings.HasPrefix(got, "HTTP/1.1 500") {
+		job := fmt.Sprintf("POST /score/bad HTTP/1.1\r\nX-Call-Id: b%d\r\nX-Budget-Ms: 4000\r\nConnection: close\r\n\r\n", i)
+		if got := w.sendRaw(job); !strings.HasPrefix(got, "HTTP/1.1 500") {
 			t.Fatalf("unusable: %q", got)
 		}
 	}
--- a/internal/dispatcher/server/operator_test.go
+++ b/internal/dispatcher/server/operator_test.go
@@ -111,7 +111,9 @@
 	}
 	late := w.dial()
 	ask(late, "b")
-	if got := readUntilClosed(late); !strings.HasPrefix(got, "HTTP/1.1 200") && !strings.HasPrefix(got, "HTTP/1.1 503") || !strings.Contains(got, "Connection: close") {
+	got := readUntilClosed(late)
+	answered := strings.HasPrefix(got, "HTTP/1.1 200") || strings.HasPrefix(got, "HTTP/1.1 503")
+	if !answered || !strings.Contains(got, "Connection: close") {
 		t.Errorf("one who comes late: %q", got)
 	}
 	w.eventually("jobs are turned away", func() bool {
@@ -175,11 +177,7 @@
 // process; and against one that stays unused once it is included again.
 func TestExclusion(t *testing.T) {
 	var w *harness
-	var runners []*runner
-	for i := range 2 {
-		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith(uid, uid)(n, rw, r) }))
-	}
+	runners := newNamedRunners(t, 2, func() *harness { return w })
 	out, in := runners[0], runners[1]
 	o := options{console: true, tempDir: t.TempDir()}
 	both := []string{out.target("ready", 0), in.target("ready", 0)}
--- a/internal/dispatcher/server/reload_test.go
+++ b/internal/dispatcher/server/reload_test.go
@@ -1,13 +1,11 @@
 package server
 
 import (
-	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"strings"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -17,36 +15,26 @@
 	gm "cinderroad/internal/dispatcher/gearman"
 )
 
-// TestReload guards against a process that ends on SIGHUP, applies half of an invalid file, keeps watching the address of
-// its environment, or drops the list before the new address has answered. A version of the old address means nothing to
-// the new one. All of it holds when repeated, and while draining; so it is one scenario and one function.
-func TestReload(t *testing.T) {
-	var w *harness
-	var runners []*runner
-	for i := range 2 {
-		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith(uid, uid)(n, rw, r) }))
-	}
-	w = startHarness(t, options{}, runners[0].target("ready", 0))
-	served := func(want string) {
-		t.Helper()
-		if status, body, _ := w.requestJob("score", 4000); status != 200 || body != want {
-			t.Fatalf("answer %d %q, want %q", status, body, want)
-		}
-	}
-	w.sendDiscoveryLine(`{"rev":41,"all":false,"targets":[` + runners[0].target("ready", 0) + `]}`)
-	w.eventually("the old address is heard", func() bool { return strings.Contains(w.log.String(), `"rev": 41`) })
+// otherDiscovery is a second discovery service, which lists one runner. It is silent until answers is closed.
+type otherDiscovery struct {
+	address string
+	asked   chan bool   // an item a query
+	queries chan string // their parameters
+	answers chan bool
+}
 
-	asked, speak, queries := make(chan bool, 9), make(chan bool), make(chan string, 9)
-	var stall atomic.Bool
-	stall.Store(true)
-	second := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		asked <- true
-		queries <- r.URL.RawQuery
-		if stall.Load() {
-			<-speak
-		}
-		list := `{"rev":7,"all":true,"targets":[` + runners[1].target("ready", 1) + `]}`
+func startOtherDiscovery(t *testing.T, listed *runner) *otherDiscovery {
+	t.Helper()
+	d := &otherDiscovery{
+		asked:   make(chan bool, 9),
+		queries: make(chan string, 9),
+		answers: make(chan bool),
+	}
+	service := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+		d.asked <- true
+		d.queries <- r.URL.RawQuery
+		<-d.answers
+		list := `{"rev":7,"all":true,"targets":[` + listed.target("ready", 1) + `]}`
 		if r.URL.RawQuery == "" {
 			io.WriteString(rw, list)
 			return
@@ -55,40 +43,77 @@
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	t.Cleanup(second.CloseClientConnections)
-	address := strings.TrimPrefix(second.URL, "http://")
+	t.Cleanup(service.CloseClientConnections)
+	d.address = strings.TrimPrefix(service.URL, "http://")
+	return d
+}
+
+// expectResult submits a job and checks its result.
+func (h *harness) expectResult(want string) {
+	h.t.Helper()
+	if status, body, _ := h.requestJob("score", 4000); status != 200 || body != want {
+		h.t.Fatalf("answer %d %q, want %q", status, body, want)
+	}
+}
 
-	w.configure("discovery", address, "seed", "no number")
+// TestReload guards against a process that ends on SIGHUP, applies half of an invalid file, keeps watching the address of
+// its environment, or drops the list before the new address has answered. A version of the old address means nothing to
+// the new one. All of it holds when repeated, and while draining; so it is one scenario and one function.
+func TestReload(t *testing.T) {
+	var w *harness
+	runners := newNamedRunners(t, 2, func() *harness { return w })
+	w = startHarness(t, options{}, runners[0].target("ready", 0))
+	w.sendDiscoveryLine(`{"rev":41,"all":false,"targets":[` + runners[0].target("ready", 0) + `]}`)
+	w.eventually("the old address is heard", func() bool { return strings.Contains(w.log.String(), `"rev": 41`) })
+	other := startOtherDiscovery(t, runners[1])
+
+	rejectInvalidFile(t, w, other)
+	w.expectResult("s-0")
+	moveDiscovery(t, w, other)
+	w.reload("program: reloaded") // nothing has changed: no new watch
+	w.expectResult("s-1")
+	if text := w.log.String(); len(other.asked) > 0 || strings.Count(text, `"needs_restart": ["name"]`) != 2 {
+		t.Errorf("asked %d times more, log:\n%s", len(other.asked), text)
+	}
+	reloadWhileDraining(t, w)
+}
+
+// rejectInvalidFile reloads a file of which one entry is invalid, and checks that the others are not applied either.
+func rejectInvalidFile(t *testing.T, w *harness, other *otherDiscovery) {
+	t.Helper()
+	w.configure("discovery", other.address, "seed", "no number")
 	w.reload("reload refused, old configuration kept")
-	if len(asked) > 0 || strings.Count(w.log.String(), "reload") != 1 {
-		t.Fatalf("%d asked after a bad file, log:\n%s", len(asked), w.log)
+	if len(other.asked) > 0 || strings.Count(w.log.String(), "reload") != 1 {
+		t.Fatalf("%d asked after a bad file, log:\n%s", len(other.asked), w.log)
 	}
-	served("s-0")
+}
 
+// moveDiscovery reloads a file with another address of discovery, and checks that the old list stays until that has answered.
+func moveDiscovery(t *testing.T, w *harness, other *otherDiscovery) {
+	t.Helper()
 	w.configure("seed", "2", "name", "n9", "limits", map[string]any{"cores": 1, "memory_mb": 64, "sockets": 300})
 	w.reload("program: reloaded")
-	<-asked
+	<-other.asked
 	w.discovery.CloseClientConnections() // the old address ends before the new one answers
 	w.eventually("the old watch has ended", func() bool { return strings.Contains(w.log.String(), "watch ended") })
-	served("s-0")
+	w.expectResult("s-0")
 	w.mu.Lock()
 	if diff := cmp.Diff([]string{"stream=1&index=1"}, w.watches); diff != "" {
 		t.Errorf("the old address was asked again (-want +got):\n%s", diff)
 	}
 	w.mu.Unlock()
-	stall.Store(false)
-	close(speak)
+	close(other.answers)
 	w.eventually("the new address is heard", func() bool { return strings.Contains(w.log.String(), `"rev": 7`) })
-	served("s-1")
-	<-asked
-	if diff := cmp.Diff([]string{"", "stream=1&index=7"}, []string{<-queries, <-queries}); diff != "" {
+	w.expectResult("s-1")
+	<-other.asked
+	if diff := cmp.Diff([]string{"", "stream=1&index=7"}, []string{<-other.queries, <-other.queries}); diff != "" {
 		t.Errorf("queries (-want +got):\n%s", diff)
 	}
-	w.reload("program: reloaded") // nothing has changed: no new watch
-	served("s-1")
-	if text := w.log.String(); len(asked) > 0 || strings.Count(text, `"needs_restart": ["name"]`) != 2 {
-		t.Errorf("asked %d times more, log:\n%s", len(asked), text)
-	}
+}
+
+// reloadWhileDraining sends SIGHUP to a process that is shutting down, and checks that it ends well.
+func reloadWhileDraining(t *testing.T, w *harness) {
+	t.Helper()
 	exit := w.terminate()
 	w.eventually("stopping", func() bool { return strings.Contains(w.log.String(), "program: stopping") })
 	w.configure("discovery", strings.TrimPrefix(w.discovery.URL, "http://"))
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -41,7 +41,10 @@
 	if s.collectd, err = receivers.NewCollectd(filepath.Join(s.dir, "collectd.sock")); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.carbon.Stop(); s.collectd.Stop() })
+	t.Cleanup(func() {
+		s.carbon.Stop()
+		s.collectd.Stop()
+	})
 	return s
 }
 
@@ -54,8 +57,10 @@
 		h.t.Fatal(err)
 	}
 	form := map[bool]string{true: "pickle", false: "plaintext"}[h.pickle]
-	text := fmt.Sprintf("[graphite]\naddress = %q\nform = %q\npatience_s = 1\n[collectd]\nsocket = %q\npatience_s = 1\n[telemetry]\nspool_dir = %q\nmemory_bytes = 4194304\n[request_log]\npath = %q\n",
-		h.carbon.Addr(), form, h.collectd.Addr(), spool, h.log(name))
+	text := fmt.Sprintf("[graphite]\naddress = %q\nform = %q\npatience_s = 1\n", h.carbon.Addr(), form) +
+		fmt.Sprintf("[collectd]\nsocket = %q\npatience_s = 1\n", h.collectd.Addr()) +
+		fmt.Sprintf("[telemetry]\nspool_dir = %q\nmemory_bytes = 4194304\n", spool) +
+		fmt.Sprintf("[request_log]\npath = %q\n", h.log(name))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		h.t.Fatal(err)
 	}
@@ -107,7 +112,9 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	if err := requestlog.Read(bytes.NewReader(text), func(l requestlog.Line) { lines = append(lines, l) }, func(n int, err error) { h.t.Error(n, err) }); err != nil {
+	take := func(line requestlog.Line) { lines = append(lines, line) }
+	malformed := func(n int, err error) { h.t.Error(n, err) }
+	if err := requestlog.Read(bytes.NewReader(text), take, malformed); err != nil {
 		h.t.Fatal(err)
 	}
 	return lines
@@ -126,7 +133,13 @@
 
 func newWorkerGroup(t *testing.T, n int, name string) *workerGroup {
 	t.Helper()
-	g := &workerGroup{revision: 1, client: &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	g := &workerGroup{
+		revision: 1,
+		client: &http.Client{
+			Timeout:   20 * time.Second,
+			Transport: &http.Transport{MaxIdleConnsPerHost: 64},
+		},
+	}
 	for i := range n {
 		g.names = append(g.names, []string{fmt.Sprintf("%s-%d", name, i)})
 		g.runners = append(g.runners, newRunner(t, g.names[i][0], func(_ int, rw http.ResponseWriter, r *http.Request) {
@@ -136,31 +149,35 @@
 			g.mu.Lock()
 			names := slices.Clone(g.names[i])
 			g.mu.Unlock()
-			news := `"state":"done","result":"ok"`
+			result := `"state":"done","result":"ok"`
 			if strings.HasSuffix(id, "7") && r.Header.Get("X-Call-Class") == "once" {
-				news = `"state":"failed"`
+				result = `"state":"failed"`
 			}
-			go func() {
-				for _, uid := range names {
-					var r *http.Response
-					var err error
-					for range 3 { // a process that ends closes connections, and unanswered callbacks are repeated
-						if r, err = g.client.Post("http://"+g.harness.addr+"/_jobs/news", "application/json", strings.NewReader(fmt.Sprintf(`{"id":%q,"from":%q,%s}`, id, uid, news))); err == nil {
-							break
-						}
-					}
-					if err != nil {
-						t.Error(err)
-						return
-					}
-					r.Body.Close()
-				}
-			}()
+			go g.reportResults(t, id, names, result)
 		}))
 	}
 	return g
 }
 
+// reportResults reports a job's result under each of a runner's names.
+func (g *workerGroup) reportResults(t *testing.T, id string, names []string, result string) {
+	for _, uid := range names {
+		var r *http.Response
+		var err error
+		for range 3 { // a process that ends closes connections, and unanswered callbacks are repeated
+			r, err = postCallback(g.client, g.harness.addr, id, uid, result)
+			if err == nil {
+				break
+			}
+		}
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		r.Body.Close()
+	}
+}
+
 func (g *workerGroup) targets() (targets []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -379,9 +396,12 @@
 			}
 		}
 	}
+	servedFirst := gone - count["gone"] // clients that disconnected, but only once they were served
 	for what, pair := range map[string][2]int64{
-		"served":  {tally[200].Load(), count["in_time"] + count["late"] - (gone - count["gone"])}, // one that disconnected may have been served first
-		"refused": {tally[503].Load(), count["refused"]}, "failed": {tally[500].Load(), count["failed"]}} {
+		"served":  {tally[200].Load(), count["in_time"] + count["late"] - servedFirst},
+		"refused": {tally[503].Load(), count["refused"]},
+		"failed":  {tally[500].Load(), count["failed"]},
+	} {
 		if pair[0] != pair[1] {
 			h.t.Errorf("%s: clients got %d, the logs have %d", what, pair[0], pair[1])
 		}
@@ -452,7 +472,8 @@
 		c.harness.eventually("a new start", func() bool { return answers(&s.carbon.Store) == 0 })
 		time.Sleep(1100 * time.Millisecond) // nor what it counts its own beginning
 	}
-	if got := s.carbon.CounterIncrease("cinderroad.n0.classes.score.answers.in_time") + s.carbon.CounterIncrease("cinderroad.n0.classes.score.answers.late"); got != 20 {
+	const answered = "cinderroad.n0.classes.score.answers."
+	if got := s.carbon.CounterIncrease(answered+"in_time") + s.carbon.CounterIncrease(answered+"late"); got != 20 {
 		t.Errorf("growth %v of 20 answers", got)
 	}
 }
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -204,7 +204,8 @@
 // TestUpgradeFromUnresponsivePredecessor guards against a start that waits for ever: for a process that holds the path
 // and sends nothing or something malformed, or for a silent discovery.
 func TestUpgradeFromUnresponsivePredecessor(t *testing.T) {
-	for _, says := range []string{"", "R\x09", "nonsense", string(handover.AppendFrame(nil, handover.State, []byte(`{"out":{"a":{"at":-1}}}`)))} {
+	badExclusion := handover.AppendFrame(nil, handover.State, []byte(`{"out":{"a":{"at":-1}}}`))
+	for _, says := range []string{"", "R\x09", "nonsense", string(badExclusion)} {
 		o := options{console: true, tempDir: filepath.Join(t.TempDir(), strings.Repeat("long", 50))} // longer than a socket's path may be
 		os.MkdirAll(o.tempDir, 0o700)
 		o.listen, o.inherit = inheritedListener(t)
