--- a/cmd/cinderroad-dispatcher/cluster_audit.go
+++ b/cmd/cinderroad-dispatcher/cluster_audit.go
@@ -80,7 +80,8 @@
 
 // auditFiles audits files, and writes to warn which lines and files it skips.
 func auditFiles(rules auditlog.Rules, files []string, warn io.Writer) (*auditlog.Report, error) {
-	file, skipped := "", 0
+	file := ""   // that is being read
+	skipped := 0 // lines of it
 	summarize := func() {
 		if skipped > maxReportedLines {
 			fmt.Fprintf(warn, "%s: %d lines left out in all\n", file, skipped)
--- a/cmd/cinderroad-dispatcher/cluster_check.go
+++ b/cmd/cinderroad-dispatcher/cluster_check.go
@@ -79,25 +79,34 @@
 		if member.Name == first.Self || member.State != "alive" && member.State != "suspect" {
 			continue
 		}
-		view := memberView{Name: member.Name}
-		switch s, err := client.status(member.Console); {
-		case member.Console == "":
-			view.Problem = "has no second address to be asked at"
-		case err != nil:
-			view.Problem = err.Error()
-		case s.Self != member.Name:
-			view.Problem = "at its address is " + s.Self
-		default:
-			view.Digest, view.View = s.Digest, s.String()
-			if s.Digest != first.Digest {
-				view.Problem = "disagrees" + describeDifference(first, s)
-			}
-		}
-		views = append(views, view)
+		views = append(views, client.compareView(member, first))
 	}
 	return views, nil
 }
 
+// compareView asks a member for its view, and compares that with the first member's.
+func (client *consoleClient) compareView(member cluster.Member, first *cluster.Status) memberView {
+	view := memberView{Name: member.Name}
+	if member.Console == "" {
+		view.Problem = "has no second address to be asked at"
+		return view
+	}
+	status, err := client.status(member.Console)
+	switch {
+	case err != nil:
+		view.Problem = err.Error()
+	case status.Self != member.Name:
+		view.Problem = "at its address is " + status.Self
+	default:
+		view.Digest = status.Digest
+		view.View = status.String()
+		if status.Digest != first.Digest {
+			view.Problem = "disagrees" + describeDifference(first, status)
+		}
+	}
+	return view
+}
+
 // describeDifference names members of which two views differ, at most maxNamedDifferences.
 func describeDifference(here, there *cluster.Status) string {
 	known := map[string]string{}
--- a/cmd/cinderroad-dispatcher/cluster_orders.go
+++ b/cmd/cinderroad-dispatcher/cluster_orders.go
@@ -11,7 +11,10 @@
 	"cinderroad/internal/dispatcher/cluster"
 )
 
-const orderPollInterval = 100 * time.Millisecond // between two looks whether an order is carried out
+const (
+	orderPollInterval = 100 * time.Millisecond // between two looks whether an order is carried out
+	stateShutOut      = "shut-out"             // of a member, as /api/fleet shows it
+)
 
 // goneCommand returns the command that declares a dead member departed.
 func (client *consoleClient) goneCommand() *cobra.Command {
@@ -32,9 +35,13 @@
 
 // orderCommand returns the command that shuts a member out, or the one that ends that.
 func (client *consoleClient) orderCommand(out bool) *cobra.Command {
-	use, short, path := "shut-out NAME", "Have a member take no new work, wherever it is", "/api/fleet/shut-out"
+	use := "shut-out NAME"
+	short := "Have a member take no new work, wherever it is"
+	path := "/api/fleet/shut-out"
 	if !out {
-		use, short, path = "bring-back NAME", "Take a shut-out back", "/api/fleet/bring-back"
+		use = "bring-back NAME"
+		short = "Take a shut-out back"
+		path = "/api/fleet/bring-back"
 	}
 	patience := 30 * time.Second
 	c := &cobra.Command{
@@ -50,22 +57,30 @@
 			if _, err := callConsole(client.console, "PUT", path, string(body)); err != nil {
 				return err
 			}
-			for end := time.Now().Add(patience); ; time.Sleep(orderPollInterval) {
-				s, err := client.status(client.console)
-				if err != nil {
-					return err
-				}
-				i := slices.IndexFunc(s.Members, func(m cluster.Member) bool { return m.Name == args[0] })
-				if i >= 0 && (s.Members[i].State == "shut-out") == out {
-					fmt.Fprintf(c.OutOrStdout(), "%s is %s\n", args[0], s.Members[i].State)
-					return nil
-				}
-				if time.Now().After(end) {
-					return fmt.Errorf("fleet: the order is given, but %s does not show it after %v; it stands", args[0], patience)
-				}
+			state, err := client.awaitOrder(args[0], out, patience)
+			if err == nil {
+				fmt.Fprintf(c.OutOrStdout(), "%s is %s\n", args[0], state)
 			}
+			return err
 		},
 	}
 	c.Flags().DurationVar(&patience, "patience", patience, "how long it is waited for")
 	return c
 }
+
+// awaitOrder waits until the cluster shows a member as out, or as out no more, and returns the member's state then.
+func (client *consoleClient) awaitOrder(name string, out bool, patience time.Duration) (state string, err error) {
+	for end := time.Now().Add(patience); ; time.Sleep(orderPollInterval) {
+		status, err := client.status(client.console)
+		if err != nil {
+			return "", err
+		}
+		i := slices.IndexFunc(status.Members, func(member cluster.Member) bool { return member.Name == name })
+		if i >= 0 && (status.Members[i].State == stateShutOut) == out {
+			return status.Members[i].State, nil
+		}
+		if time.Now().After(end) {
+			return "", fmt.Errorf("fleet: the order is given, but %s does not show it after %v; it stands", name, patience)
+		}
+	}
+}
--- a/internal/dispatcher/server/cluster_lease_test.go
+++ b/internal/dispatcher/server/cluster_lease_test.go
@@ -86,20 +86,20 @@
 	return n
 }
 
-// checkPartitionedMemberRejects: one member loses discovery, as its peers see, and then its peers, while a worker drains.
-// Its lease ends, it accepts no new work, and every job there is answered. Back in contact it serves again.
+// TestFleetCutOffIsShutOut: one member loses discovery, as its peers see, and then its peers, while a worker drains. Its
+// lease ends, it accepts no new work, and every job there is answered. Back in contact it serves again.
 func TestFleetCutOffIsShutOut(t *testing.T) {
 	t.Parallel()
-	for name, which := range map[string][2]int{"one of many": {*fleetN, *fleetN - 1}, "its zone's only one": {3, 1}} {
-		t.Run(name, func(t *testing.T) { checkPartitionedMemberRejects(t, which[0], which[1]) })
-	}
+	t.Run("one of many", func(t *testing.T) { checkPartitionedMemberRejects(t, *fleetN, *fleetN-1) })
+	t.Run("its zone's only one", func(t *testing.T) { checkPartitionedMemberRejects(t, 3, 1) })
 }
 
-func checkPartitionedMemberRejects(t *testing.T, n, which int) {
+// checkPartitionedMemberRejects partitions the member at an index in a cluster of so many members.
+func checkPartitionedMemberRejects(t *testing.T, members, index int) {
 	t.Helper()
-	r := fleetOf(t, processcluster.Options{Members: n, JobsPerSecond: 40})
-	r.WaitConverged(n)
-	cut, drains := r.Members[which], r.Runners[2]
+	r := fleetOf(t, processcluster.Options{Members: members, JobsPerSecond: 40})
+	r.WaitConverged(members)
+	cut, drains := r.Members[index], r.Runners[2]
 	cut.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
 	time.Sleep(processcluster.LeaseSeconds*time.Second + 4*time.Second) // longer than a lease: contact with peers renews it
 	if out := rejectingCount(r); out > 0 {
@@ -128,7 +128,7 @@
 	if sent := drains.JobsFrom(cut) - after; sent > 1 {
 		t.Errorf("%d jobs were sent to the worker that drains", sent)
 	}
-	r.WaitConverged(n)
+	r.WaitConverged(members)
 	r.Check()
 }
 
@@ -256,20 +256,20 @@
 	r := fleetOf(t, processcluster.Options{Members: 3})
 	n := len(r.Members)
 	r.WaitConverged(n)
-	marks := func(m *processcluster.Member, what string) map[string]bool {
-		all := map[string]bool{}
-		if s := m.Status(); s != nil {
-			for _, o := range s.Members {
-				all[o.Version[what]] = true
-				if o.VersionMS[what] == 0 {
-					t.Errorf("%s has no time of its %s", o.Name, what)
+	versions := func(m *processcluster.Member, file string) map[string]bool { // of a file, among all that m knows of
+		found := map[string]bool{}
+		if status := m.Status(); status != nil {
+			for _, member := range status.Members {
+				found[member.Version[file]] = true
+				if member.VersionMS[file] == 0 {
+					t.Errorf("%s has no time of its %s", member.Name, file)
 				}
 			}
 		}
-		return all
+		return found
 	}
 	for _, m := range r.Members {
-		if kinds := marks(m, "settings"); len(kinds) != 1 {
+		if kinds := versions(m, "settings"); len(kinds) != 1 {
 			t.Errorf("%s sees %d kinds of the same settings", m.Name, len(kinds))
 		}
 	}
@@ -280,27 +280,29 @@
 	first.WaitServing()
 	r.WaitConverged(n)
 	for _, m := range r.Members {
-		r.Eventually("two kinds of settings are seen", func() bool { return len(marks(m, "settings")) == 2 })
-		if kinds := marks(m, "operator"); len(kinds) != 1 {
+		r.Eventually("two kinds of settings are seen", func() bool { return len(versions(m, "settings")) == 2 })
+		if kinds := versions(m, "operator"); len(kinds) != 1 {
 			t.Errorf("%s sees %d kinds of one operator's file", m.Name, len(kinds))
 		}
 	}
 	reloaded := r.Members[1]
-	mark := func(at *processcluster.Member) string {
-		if s := at.Status(); s != nil {
-			for _, o := range s.Members {
-				if o.Name == reloaded.Name {
-					return o.Version["operator"]
+	reloadedVersion := func(at *processcluster.Member) string { // of its operator's file, as another member knows it
+		if status := at.Status(); status != nil {
+			for _, member := range status.Members {
+				if member.Name == reloaded.Name {
+					return member.Version["operator"]
 				}
 			}
 		}
 		return ""
 	}
-	before := mark(reloaded)
+	before := reloadedVersion(reloaded)
 	reloaded.WriteConfig(reloaded.OperatorConfig() + "[telemetry]\nevery_s = 5\n")
 	reloaded.Reload("program: reloaded")
 	for _, m := range r.Members {
-		r.Eventually("another operator's file is seen", func() bool { return mark(m) != "" && mark(m) != before })
+		r.Eventually("another operator's file is seen", func() bool {
+			return reloadedVersion(m) != "" && reloadedVersion(m) != before
+		})
 	}
 	if out := rejectingCount(r); out > 0 {
 		t.Errorf("%d are out", out)
--- a/internal/dispatcher/server/cluster_options.go
+++ b/internal/dispatcher/server/cluster_options.go
@@ -44,8 +44,8 @@
 		return nil, fmt.Errorf("config: name: %q: a member of a fleet needs one of 1 to %d bytes", c.Name, membership.MaxNameLength)
 	}
 	zone := ""
-	if z := c.balancerSettings.Zone; z < len(c.dispatcherSettings.FailureDomains) {
-		zone = c.dispatcherSettings.FailureDomains[z]
+	if index := c.balancerSettings.Zone; index < len(c.dispatcherSettings.FailureDomains) {
+		zone = c.dispatcherSettings.FailureDomains[index]
 	}
 	return &cluster.Options{
 		Cluster:       fleet.Name,
--- a/internal/dispatcher/server/cluster_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -22,6 +22,7 @@
 
 var fleetN = flag.Int("fleet.n", 5, "processes of a fleet test")
 
+// fleetOf starts a cluster, of fleetN members and four runners unless options say otherwise. The test runs in parallel.
 func fleetOf(t *testing.T, o processcluster.Options) *processcluster.Cluster {
 	t.Helper()
 	t.Parallel()
@@ -37,8 +38,8 @@
 
 var foundDead = regexp.MustCompile(`"member": "([^"]+)", "is": "dead"`)
 
-// falselyDead lists who held whom for dead while its process ran. One that was starved of the processor for so long that
-// it reports the pause itself was rightly found.
+// falselyDead lists which member found which other one dead although its process ran. One that got no processor time for so
+// long that it reports the pause itself was rightly found.
 func falselyDead(r *processcluster.Cluster) (all []string) {
 	stalled := map[string]bool{}
 	for _, m := range r.Members {
@@ -110,7 +111,7 @@
 	n := len(r.Members)
 	r.WaitConverged(n)
 	m := r.Members[3]
-	life := incarnationOf(m, m.Name)
+	generation := generationOf(m, m.Name)
 	m.Pause()
 	others := []*processcluster.Member{r.Members[0], r.Members[1], r.Members[2]}
 	r.Eventually("found dead", func() bool {
@@ -132,19 +133,20 @@
 	}
 	m.Continue()
 	r.WaitConverged(n)
-	if got := incarnationOf(m, m.Name); got != life || life == 0 {
-		t.Errorf("it came back as another: life %d, not %d", got, life)
+	if got := generationOf(m, m.Name); got != generation || generation == 0 {
+		t.Errorf("it came back as another: generation %d, not %d", got, generation)
 	}
 	if !strings.Contains(m.LogText(), "this process has stood still") {
-		t.Error("the sleeper did not know that it slept")
+		t.Error("the paused process did not report the pause")
 	}
 	for _, wrong := range falselyDead(r) { // the paused member itself was rightly found
-		t.Errorf("%s for its own sleep", wrong)
+		t.Errorf("%s for its own pause", wrong)
 	}
 	r.Check()
 }
 
-func incarnationOf(m *processcluster.Member, name string) uint64 {
+// generationOf returns the generation in which m knows the member of a name; 0 if it knows none.
+func generationOf(m *processcluster.Member, name string) uint64 {
 	if s := m.Status(); s != nil {
 		for _, o := range s.Members {
 			if o.Name == name {
@@ -214,7 +216,7 @@
 	for _, m := range r.Members {
 		refuted += strings.Count(m.LogText(), `"is": "alive"`)
 	}
-	t.Logf("under loss: %d records of life at %d members in 75 periods", refuted, n)
+	t.Logf("under loss: %d records of members found alive again at %d members in 75 periods", refuted, n)
 	for _, wrong := range falselyDead(r) {
 		t.Errorf("%s, which answers", wrong)
 	}
@@ -274,12 +276,12 @@
 	r := fleetOf(t, processcluster.Options{Members: 3, InheritSocket: true})
 	r.WaitConverged(3)
 	m := r.Members[1]
-	life := incarnationOf(m, m.Name)
+	generation := generationOf(m, m.Name)
 	m.Upgrade()
 	r.WaitConverged(3)
 	for _, o := range r.Members {
-		if got := incarnationOf(o, m.Name); got <= life {
-			t.Errorf("%s holds life %d of %s, which was %d before the upgrade", o.Name, got, m.Name, life)
+		if got := generationOf(o, m.Name); got <= generation {
+			t.Errorf("%s holds generation %d of %s, which was %d before the upgrade", o.Name, got, m.Name, generation)
 		}
 	}
 	for _, wrong := range falselyDead(r) {
@@ -306,7 +308,7 @@
 		if !r.Converged([]*processcluster.Member{r.Members[0], r.Members[1], twin}, 3) {
 			return false
 		}
-		return incarnationOf(r.Members[0], twin.Name) == incarnationOf(twin, twin.Name)
+		return generationOf(r.Members[0], twin.Name) == generationOf(twin, twin.Name)
 	})
 	r.Check()
 }
@@ -400,7 +402,10 @@
 	m.ClusterName = "other"
 	m.WriteConfig(m.OperatorConfig())
 	m.Reload("program: reloaded")
-	r.Eventually("a fleet of its own", func() bool { s := m.Status(); return s != nil && s.Cluster == "other" && len(s.Members) == 1 })
+	r.Eventually("a fleet of its own", func() bool {
+		status := m.Status()
+		return status != nil && status.Cluster == "other" && len(status.Members) == 1
+	})
 	m.ClusterName = r.ClusterName
 	m.WriteConfig(strings.Replace(m.OperatorConfig(), m.BindAddress, m.BindAddress+`0"#`, 1)) // an invalid port
 	m.Reload("reload refused")
@@ -481,20 +486,22 @@
 	}
 	defer conn.Close()
 	here := addrOf(conn.LocalAddr().String())
-	life := uint64(time.Now().UnixMicro())
+	generation := uint64(time.Now().UnixMicro())
 	for i := range 150 {
 		var lies []membership.Record
 		for _, m := range r.Members {
 			victim := membership.Record{
 				Name:        m.Name,
 				Addr:        addrOf(m.Relay.Addr()),
-				Generation:  incarnationOf(m, m.Name),
+				Generation:  generationOf(m, m.Name),
 				Incarnation: uint64(i),
 				State:       membership.State(1 + i%3),
 				SuspectedBy: "liar",
 			}
 			if i%5 == 4 {
-				victim.Generation, victim.Addr, victim.State = life*2, here, membership.Alive
+				victim.Generation = generation * 2
+				victim.Addr = here
+				victim.State = membership.Alive
 			}
 			lies = append(lies, victim)
 		}
@@ -503,7 +510,7 @@
 			Cluster: r.ClusterName,
 			Number:  uint64(i + 1),
 			Records: lies,
-			From:    membership.Record{Name: "liar", Generation: life, Addr: here},
+			From:    membership.Record{Name: "liar", Generation: generation, Addr: here},
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dispatcher/server/cluster_versions_test.go
+++ b/internal/dispatcher/server/cluster_versions_test.go
@@ -12,12 +12,12 @@
 
 // withholds reports whether a member restricts a worker because of what peers know.
 func withholds(m *processcluster.Member, worker string) bool {
-	s := m.Status()
-	if s == nil {
+	status := m.Status()
+	if status == nil {
 		return false
 	}
-	for _, h := range s.Restrictions {
-		if h.Worker == worker {
+	for _, restriction := range status.Restrictions {
+		if restriction.Worker == worker {
 			return true
 		}
 	}
@@ -37,32 +37,34 @@
 			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(cut) > 5 })
 			cut.DiscoveryLink().SetLink(fault)
 			before := drains.JobsFrom(cut)
-			from := time.Now()
+			drainedAt := time.Now()
 			drains.SetState("draining")
 			r.Discovery.Publish()
 			r.Eventually("it is withheld", func() bool { return withholds(cut, drains.Name) })
-			told := time.Since(from)
+			delay := time.Since(drainedAt)
 			within := drains.JobsFrom(cut)
 			time.Sleep(3 * time.Second)                      // 180 jobs at that member: enough to find one that must not be sent
 			if got := drains.JobsFrom(cut); got > within+1 { // one may have been in flight
 				t.Errorf("%d jobs were sent to a worker that peers know to drain", got-within)
 			}
-			t.Logf("withheld after %v; %d jobs until then", told, within-before)
+			t.Logf("withheld after %v; %d jobs until then", delay, within-before)
 			drains.SetState("ready")
 			r.Discovery.Publish()
-			r.Eventually("the lifting is told, too", func() bool { return !withholds(cut, drains.Name) && drains.JobsFrom(cut) > within+3 })
+			r.Eventually("the lifting is told, too", func() bool {
+				return !withholds(cut, drains.Name) && drains.JobsFrom(cut) > within+3
+			})
 			drains.SetState("draining")
 			r.Discovery.Publish()
 			r.Eventually("it is withheld again", func() bool { return withholds(cut, drains.Name) })
 			cut.DiscoveryLink().SetLink(receivers.Link{})
-			r.Eventually("its own director has told it", func() bool {
+			r.Eventually("its own discovery has told it", func() bool {
 				s := cut.Status()
 				return s != nil && len(s.Restrictions) == 0 && strings.Contains(cut.LogText(), "nothing is withheld any more")
 			})
 			after := drains.JobsFrom(cut)
 			time.Sleep(time.Second)
 			if got := drains.JobsFrom(cut); got > after+1 {
-				t.Errorf("%d jobs were sent to it when the own director was back", got-after)
+				t.Errorf("%d jobs were sent to it when the own discovery was back", got-after)
 			}
 			r.Check()
 		})
@@ -79,33 +81,34 @@
 			r := fleetOf(t, processcluster.Options{JobsPerSecond: 60})
 			n := len(r.Members)
 			r.WaitConverged(n)
-			sleeper, drains := r.Members[0], r.Runners[2] // of its zone
-			at := drains.JobsFrom(sleeper)
-			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(sleeper) > at+5 })
-			sleeper.Pause()
-			sleeper.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
-			r.Partition(sleeper) // nothing is buffered for it when it resumes
+			paused, drains := r.Members[0], r.Runners[2] // of its zone
+			at := drains.JobsFrom(paused)
+			r.Eventually("it gets jobs", func() bool { return drains.JobsFrom(paused) > at+5 })
+			paused.Pause()
+			paused.DiscoveryLink().SetLink(receivers.Link{Blackhole: true})
+			r.Partition(paused) // nothing is buffered for it when it resumes
 			drains.SetState("draining")
 			r.Discovery.Publish()
 			r.Eventually("the others have nothing there any more", drains.Idle)
 			time.Sleep(span)
-			before, woke := drains.JobsFrom(sleeper), strings.Count(sleeper.LogText(), lookedAgain)
-			sleeper.Continue()
+			before := drains.JobsFrom(paused)
+			resumed := strings.Count(paused.LogText(), lookedAgain)
+			paused.Continue()
 			time.Sleep(2 * time.Second) // no contact, for longer than jobs wait
-			if strings.Count(sleeper.LogText(), lookedAgain) == woke && health(sleeper) != 503 {
+			if strings.Count(paused.LogText(), lookedAgain) == resumed && health(paused) != 503 {
 				t.Error("it knows nothing new, and its health is well")
 			}
 			r.ClearLinks()
-			sleeper.Relay.SetLink("", receivers.Link{Delay: 100 * time.Millisecond})
-			r.Eventually("it has looked again", func() bool { return strings.Count(sleeper.LogText(), lookedAgain) > woke })
-			r.Eventually("it is withheld", func() bool { return withholds(sleeper, drains.Name) })
-			r.Eventually("it serves again", func() bool { return health(sleeper) == 200 })
+			paused.Relay.SetLink("", receivers.Link{Delay: 100 * time.Millisecond})
+			r.Eventually("it has looked again", func() bool { return strings.Count(paused.LogText(), lookedAgain) > resumed })
+			r.Eventually("it is withheld", func() bool { return withholds(paused, drains.Name) })
+			r.Eventually("it serves again", func() bool { return health(paused) == 200 })
 			time.Sleep(time.Second)
-			if sent := drains.JobsFrom(sleeper) - before; sent > 0 {
+			if sent := drains.JobsFrom(paused) - before; sent > 0 {
 				t.Errorf("after %v: %d jobs were sent by the old list", span, sent)
 			}
 			r.ClearLinks()
-			sleeper.DiscoveryLink().SetLink(receivers.Link{})
+			paused.DiscoveryLink().SetLink(receivers.Link{})
 			drains.SetState("ready")
 			r.Discovery.Publish()
 			r.WaitConverged(n)
@@ -114,6 +117,7 @@
 	}
 }
 
+// lookedAgain is logged when a process sends again after a pause.
 const lookedAgain = "looked again after a sleep"
 
 // health returns the status of a member's health check; 0 if there is no answer.
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -148,7 +148,8 @@
 	if shorthand.Interval > 0 {
 		file.Telemetry.IntervalSeconds = shorthand.Interval
 	}
-	c.Operator, c.shorthand = file, shorthand
+	c.Operator = file
+	c.shorthand = shorthand
 	return nil
 }
 
--- a/internal/dispatcher/server/cost_test.go
+++ b/internal/dispatcher/server/cost_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"net/http"
 	"os"
 	"slices"
 	"strconv"
@@ -86,28 +85,29 @@
 			o.args = []string{"-operator", stalled.file("stalled"), "-metrics-every", "1"}
 		}
 		c.harness = startHarness(t, o, c.targets()...)
-		c.harness.client = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+		c.harness.client = newPooledClient()
 		c.latencies(2000, 6)
 		groups[name] = c
 	}
 	stalled.carbon.SetStalled(true)
 	stalled.collectd.SetStalled(true)
 	const jobs = 6000
-	perJob, slowest := map[string][]float64{}, map[string][]float64{}
+	cpuMicroseconds := map[string][]float64{} // a job, by dispatcher, for each of its turns
+	p99Milliseconds := map[string][]float64{} // of the jobs' latencies
 	for range rounds {
 		for _, name := range names {
 			c := groups[name]
 			before := c.harness.cpuSeconds()
 			spans := c.latencies(jobs, 6)
-			perJob[name] = append(perJob[name], 1e6*(c.harness.cpuSeconds()-before)/jobs)
-			slowest[name] = append(slowest[name], 1e3*spans[len(spans)*99/100])
+			cpuMicroseconds[name] = append(cpuMicroseconds[name], 1e6*(c.harness.cpuSeconds()-before)/jobs)
+			p99Milliseconds[name] = append(p99Milliseconds[name], 1e3*spans[len(spans)*99/100])
 		}
 	}
 	stalled.carbon.SetStalled(false)
 	stalled.collectd.SetStalled(false)
 	var b strings.Builder
 	for _, name := range names {
-		cpu, p99 := perJob[name], slowest[name]
+		cpu, p99 := cpuMicroseconds[name], p99Milliseconds[name]
 		slices.Sort(cpu)
 		slices.Sort(p99)
 		fmt.Fprintf(&b, "\n%-8s CPU a job %.1f µs (%.1f to %.1f), p99 %.2f ms (%.2f to %.2f), %.1f MB",
--- a/internal/dispatcher/server/gearman_test.go
+++ b/internal/dispatcher/server/gearman_test.go
@@ -169,7 +169,8 @@
 	var got strings.Builder
 	for b := make([]byte, 512); !strings.HasSuffix(got.String(), end); {
 		n, err := c.Read(b)
-		if got.Write(b[:n]); err != nil {
+		got.Write(b[:n])
+		if err != nil {
 			g.t.Fatalf("%s: %q, %v", command, got.String(), err)
 		}
 	}
@@ -433,7 +434,10 @@
 
 	w := g.dial()
 	assigned := make(chan string)
-	w.serveJobs(gm.GrabJob, func(handle, _, data string) bool { assigned <- handle; return data == "stop" }, "once")
+	w.serveJobs(gm.GrabJob, func(handle, _, data string) bool {
+		assigned <- handle
+		return data == "stop"
+	}, "once")
 	submit("once", "silent") // past the deadline: a failure, and its late result is ignored
 	late := <-assigned
 	client.want(gm.WorkFail)
@@ -483,7 +487,10 @@
 	g := startGearmanHarness(t, options{cold: 0.001}, 5)
 	first, second, client := g.dial(), g.dial(), g.dial()
 	busy := make(chan string, 1)
-	first.serveJobs(gm.GrabJob, func(handle, _, _ string) bool { busy <- handle; return true }, "once")
+	first.serveJobs(gm.GrabJob, func(handle, _, _ string) bool {
+		busy <- handle
+		return true
+	}, "once")
 	g.eventually("first worker", func() bool { return strings.Contains(g.admin("status", ".\n"), "once\t0\t0\t1") })
 	for i := range 2 {
 		client.send(gm.SubmitJob, "once", "", fmt.Sprint("job ", i))
--- a/internal/dispatcher/server/harness_test.go
+++ b/internal/dispatcher/server/harness_test.go
@@ -133,7 +133,8 @@
 	}
 	w.discovery = httptest.NewServer(http.HandlerFunc(w.watch))
 	t.Cleanup(w.discovery.CloseClientConnections)
-	if w.addr = o.listen; w.addr == "" {
+	w.addr = o.listen
+	if w.addr == "" {
 		w.addr = freeAddr(t)
 	}
 	if o.tempDir == "" {
--- a/internal/dispatcher/server/jobs_test.go
+++ b/internal/dispatcher/server/jobs_test.go
@@ -103,7 +103,8 @@
 						w.replyWith(uid, "ok")(n, rw, r)
 					}
 				})
-				runners, targets = append(runners, u), append(targets, u.target("ready", i))
+				runners = append(runners, u)
+				targets = append(targets, u.target("ready", i))
 			}
 			w = startHarness(t, options{single: true}, targets...) // jobs are counted, and a hedged request would be one more
 			status, body, _ := w.requestJob(tc.class, 4000)
@@ -296,7 +297,10 @@
 		return u.open
 	}
 	answers := make(chan int, 3)
-	ask := func() { status, _, _ := w.requestJob("once", 4000); answers <- status }
+	ask := func() {
+		status, _, _ := w.requestJob("once", 4000)
+		answers <- status
+	}
 	go ask()
 	go ask()
 	if a, b := <-answers, <-answers; a != 200 || b != 200 || open() != 2 {
@@ -425,7 +429,10 @@
 			other := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "again")(n, rw, r) })
 			w = startHarness(t, options{}, first.target("ready", 5))
 			answer := make(chan int, 1)
-			go func() { status, _, _ := w.requestJob("charge", 4000); answer <- status }()
+			go func() {
+				status, _, _ := w.requestJob("charge", 4000)
+				answer <- status
+			}()
 			w.eventually("the job", func() bool { return first.jobs() == 1 })
 			w.sendDiscoveryLine(fmt.Sprintf(line, other.target("ready", 0)))
 			w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 2`) })
--- a/internal/dispatcher/server/misbehaving_peers_test.go
+++ b/internal/dispatcher/server/misbehaving_peers_test.go
@@ -243,7 +243,8 @@
 			}
 			rw.WriteHeader(400)
 		})
-		runners, targets = append(runners, u), append(targets, u.target("ready", i))
+		runners = append(runners, u)
+		targets = append(targets, u.target("ready", i))
 	}
 	w = startHarness(t, options{single: single}, targets...)
 	for i := range 30 {
--- a/internal/dispatcher/server/pause.go
+++ b/internal/dispatcher/server/pause.go
@@ -71,7 +71,8 @@
 	if s.resumingSince > 0 {
 		s.resumeTimer.Stop()
 		s.log.Info("program: looked again after a sleep", zap.Float64("after_s", s.loop.Now()-s.resumingSince))
-		s.resumingSince, s.resumeTimedOut = 0, false
+		s.resumingSince = 0
+		s.resumeTimedOut = false
 		s.recordAudit(auditlog.Entry{Kind: auditlog.Resumed})
 		s.updateAdmission()
 	}
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -32,7 +32,8 @@
 	restart := running.restartOnlyChanges(next)
 	// What needs a restart keeps its value, so that the next reload reports it again.
 	config := *running
-	config.Limits, config.Discovery = next.Limits, next.Discovery
+	config.Limits = next.Limits
+	config.Discovery = next.Discovery
 	if next.discovery.IsValid() {
 		config.discovery = next.discovery
 	}
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -37,7 +37,8 @@
 		return
 	}
 	r.exporter.Stop()
-	r.successor, r.totalsSent = successor, false
+	r.successor = successor
+	r.totalsSent = false
 	closing := r.spool
 	r.spool = nil
 	r.exporter.SetSpool(nil)
@@ -65,22 +66,36 @@
 	_, message.Latencies = r.metrics.TakeDelta()
 	if !onDisk {
 		message.Series = r.metrics.Table().From(0)
-		periods, size := r.exporter.Ring().Periods(), 0
-		first := len(periods)
-		for ; first > 0; first-- {
-			if size += len(periods[first-1].EncodedValues); size > maxHandoverBytes || periods[first-1].Table != r.metrics.Table() {
-				break
-			}
-		}
-		for _, period := range periods[first:] {
-			message.Periods = append(message.Periods, undeliveredPeriod{period.Timestamp, period.Interval, period.EncodedValues})
-		}
+		message.Periods = r.undeliveredPeriods()
 	}
 	r.send(message)
 	r.totalsSent = true
 	r.sendDelta()
 }
 
+// undeliveredPeriods returns the newest periods that some receiver has not accepted, up to maxHandoverBytes. They all have
+// the present table of series, which goes with them.
+func (r *reporting) undeliveredPeriods() (newest []undeliveredPeriod) {
+	periods := r.exporter.Ring().Periods()
+	first := len(periods)
+	size := 0
+	for ; first > 0; first-- {
+		period := periods[first-1]
+		size += len(period.EncodedValues)
+		if size > maxHandoverBytes || period.Table != r.metrics.Table() {
+			break
+		}
+	}
+	for _, period := range periods[first:] {
+		newest = append(newest, undeliveredPeriod{
+			Timestamp:     period.Timestamp,
+			Interval:      period.Interval,
+			EncodedValues: period.EncodedValues,
+		})
+	}
+	return newest
+}
+
 // send sends a message to the successor. A failure is logged: the link reports its own end.
 func (r *reporting) send(message metricsMessage) {
 	if err := r.successor.Send(handover.Metrics, message); err != nil {
@@ -90,7 +105,8 @@
 
 // sendDelta sends the successor what was counted since the last message, and again every deltaInterval.
 func (r *reporting) sendDelta() {
-	if r.deltaTimer.Stop(); r.successor == nil || !r.totalsSent {
+	r.deltaTimer.Stop()
+	if r.successor == nil || !r.totalsSent {
 		return
 	}
 	if counts, latencies := r.metrics.TakeDelta(); len(counts) > 0 || len(latencies) > 0 {
@@ -129,7 +145,8 @@
 	if r == nil {
 		return
 	}
-	if r.awaitsTotals = sendsTotals && r.delivers(); !r.awaitsTotals {
+	r.awaitsTotals = sendsTotals && r.delivers()
+	if !r.awaitsTotals {
 		r.start()
 	}
 }
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -22,12 +22,16 @@
 		return &reportingReload{operatorConfig: file}, nil
 	}
 	change := &reportingReload{operatorConfig: file, outputs: map[string]exporter.Output{}}
-	for key, make := range outputBuilders(file) {
-		if change.outputs[key] = r.outputs[key]; change.outputs[key] == nil {
-			change.outputs[key] = make()
+	for key, build := range outputBuilders(file) {
+		if open := r.outputs[key]; open != nil {
+			change.outputs[key] = open
+		} else {
+			change.outputs[key] = build()
 		}
 	}
-	if section := file.RequestLog; section != nil && (r.requestLog == nil || !sameRequestLog(section, r.operatorConfig.RequestLog)) {
+	section := file.RequestLog
+	isOpen := r.requestLog != nil && sameRequestLog(section, r.operatorConfig.RequestLog)
+	if section != nil && !isOpen {
 		log, err := requestlog.Open(requestlog.Options{
 			Path:           section.Path,
 			MaxBytes:       section.MaxBytes,
@@ -54,9 +58,9 @@
 // outputBuilders returns a constructor for each output that a file configures, by the text of all that it says of the output:
 // an output is kept through a reload if nothing of that changes.
 func outputBuilders(file *operatorconfig.Config) map[string]func() exporter.Output {
-	all := map[string]func() exporter.Output{}
+	builders := map[string]func() exporter.Output{}
 	for _, g := range file.Graphite {
-		all[fmt.Sprintf("graphite %+v", g)] = func() exporter.Output {
+		builders[fmt.Sprintf("graphite %+v", g)] = func() exporter.Output {
 			return exporter.NewGraphite(exporter.GraphiteOptions{
 				Address:        g.ParsedAddress,
 				Prefix:         g.Prefix,
@@ -67,7 +71,7 @@
 		}
 	}
 	for _, c := range file.Collectd {
-		all[fmt.Sprintf("collectd %+v", c)] = func() exporter.Output {
+		builders[fmt.Sprintf("collectd %+v", c)] = func() exporter.Output {
 			if c.Socket != "" {
 				return exporter.NewCollectd(c.Socket, c.TimeoutSeconds)
 			}
@@ -84,26 +88,14 @@
 			})
 		}
 	}
-	return all
+	return builders
 }
 
 // install replaces outputs and request log. An output that is new takes over what was not delivered to one of the same kind
 // that is configured no more: the receiver has moved.
 func (r *reporting) install(change *reportingReload) {
 	for key, output := range change.outputs {
-		if r.outputs[key] != nil {
-			continue
-		}
-		moved := false
-		for oldKey, old := range r.outputs {
-			if change.outputs[oldKey] == nil && old.Kind() == output.Kind() {
-				r.exporter.ReplaceOutput(old, output)
-				delete(r.outputs, oldKey)
-				moved = true
-				break
-			}
-		}
-		if !moved {
+		if r.outputs[key] == nil && !r.replaceMovedOutput(output, change) {
 			r.exporter.AddOutput(output)
 		}
 	}
@@ -124,6 +116,18 @@
 	r.operatorConfig = change.operatorConfig
 }
 
+// replaceMovedOutput replaces an output of the same kind that change no longer has, and reports whether there was one.
+func (r *reporting) replaceMovedOutput(output exporter.Output, change *reportingReload) bool {
+	for key, old := range r.outputs {
+		if change.outputs[key] == nil && old.Kind() == output.Kind() {
+			r.exporter.ReplaceOutput(old, output)
+			delete(r.outputs, key)
+			return true
+		}
+	}
+	return false
+}
+
 // closeLog closes a log off the loop, since that waits for the disk. Nothing waits for it.
 func (r *reporting) closeLog(log *requestlog.Log) {
 	if log != nil {
@@ -156,7 +160,8 @@
 	}
 	// What needs a restart keeps its value, so that the next reload reports it again.
 	file := *change.operatorConfig
-	file.Telemetry, file.Telemetry.IntervalSeconds = before, after.IntervalSeconds
+	file.Telemetry = before
+	file.Telemetry.IntervalSeconds = after.IntervalSeconds
 	r.operatorConfig = &file
 	return restart
 }
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -131,15 +131,17 @@
 	client   *http.Client
 }
 
+// newPooledClient returns a client that keeps enough idle connections for concurrent jobs.
+func newPooledClient() *http.Client {
+	return &http.Client{
+		Timeout:   20 * time.Second,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 64},
+	}
+}
+
 func newWorkerGroup(t *testing.T, n int, name string) *workerGroup {
 	t.Helper()
-	g := &workerGroup{
-		revision: 1,
-		client: &http.Client{
-			Timeout:   20 * time.Second,
-			Transport: &http.Transport{MaxIdleConnsPerHost: 64},
-		},
-	}
+	g := &workerGroup{revision: 1, client: newPooledClient()}
 	for i := range n {
 		g.names = append(g.names, []string{fmt.Sprintf("%s-%d", name, i)})
 		g.runners = append(g.runners, newRunner(t, g.names[i][0], func(_ int, rw http.ResponseWriter, r *http.Request) {
@@ -237,134 +239,164 @@
 	wg.Wait()
 }
 
-// TestMetricsAndLogsAgree sends 20,000 jobs through three dispatchers and both fronts, while one receiver is away and the
-// other silent, half of the list is renamed twice and one dispatcher is upgraded. What the receivers have equals the
-// request logs, answer for answer, and equals what the clients got; every period of the outage is there; and series have
-// not multiplied. It is one scenario whose steps build on each other, and so one function.
-func TestMetricsAndLogsAgree(t *testing.T) {
-	s := newTelemetryHarness(t, false)
-	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	o := options{tempDir: t.TempDir(), args: s.args("n0"), cold: 0.001}
-	o.listen, o.inherit = inheritedListener(t)
-	var groups []*workerGroup
-	for i, o := range []options{o, {name: "n1", args: s.args("n1"), cold: 0.001}} {
-		c := newWorkerGroup(t, 4, fmt.Sprint("runner-", i))
-		c.harness = startHarness(t, o, c.targets()...)
-		c.harness.client = client
-		groups = append(groups, c)
-	}
-	g := startGearmanHarness(t, options{name: "n2", args: s.args("n2"), cold: 0.001}, 5)
+// comparedNames are the dispatchers of an agreementScenario.
+var comparedNames = []string{"n0", "n1", "n2"}
+
+// agreementScenario is three dispatchers that report to the same receivers: n0, which can be upgraded, and n1 get jobs by
+// HTTP, n2 by Gearman. It counts what the clients got.
+type agreementScenario struct {
+	*telemetryHarness
+	firstOptions options        // of n0
+	groups       []*workerGroup // of n0 and n1
+	gearman      *gearmanHarness
+
+	tally           [600]atomic.Int64 // answers over HTTP, by status
+	gearmanAnswers  atomic.Int64
+	disconnectCount int64 // clients that left before an answer
+}
+
+func newAgreementScenario(t *testing.T) *agreementScenario {
+	t.Helper()
+	s := &agreementScenario{telemetryHarness: newTelemetryHarness(t, false)}
+	client := newPooledClient()
+	s.firstOptions = options{tempDir: t.TempDir(), args: s.args("n0"), cold: 0.001}
+	s.firstOptions.listen, s.firstOptions.inherit = inheritedListener(t)
+	for i, o := range []options{s.firstOptions, {name: "n1", args: s.args("n1"), cold: 0.001}} {
+		group := newWorkerGroup(t, 4, fmt.Sprint("runner-", i))
+		group.harness = startHarness(t, o, group.targets()...)
+		group.harness.client = client
+		s.groups = append(s.groups, group)
+	}
+	s.gearman = startGearmanHarness(t, options{name: "n2", args: s.args("n2"), cold: 0.001}, 5)
 	for range 4 {
-		worker := g.dial()
+		worker := s.gearman.dial()
 		worker.serveJobs(gm.GrabJobUniq, worker.echo, "safe", "once")
 	}
-	g.eventually("the workers", func() bool { return strings.Contains(g.admin("status", ".\n"), "safe\t0\t0\t4") })
+	s.gearman.eventually("the workers", func() bool {
+		return strings.Contains(s.gearman.admin("status", ".\n"), "safe\t0\t0\t4")
+	})
+	return s
+}
 
-	var tally [600]atomic.Int64
-	var gearman, gone atomic.Int64
-	parts := func(n int) { // of the jobs, on all dispatchers at once
-		var wg sync.WaitGroup
-		for _, c := range groups {
-			wg.Add(1)
-			go func() { defer wg.Done(); c.requestJobs(8000/n, 6, &tally) }()
-		}
-		for range 4 {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				client := g.dial()
-				for i := range 1000 / n {
-					client.send(gm.SubmitJob, []string{"safe", "once"}[i%2], "", fmt.Sprint(i))
-					for p := client.any(); ; p = client.any() {
-						if p.Kind == gm.WorkComplete || p.Kind == gm.WorkFail {
-							break
-						}
-					}
-					gearman.Add(1)
-				}
-			}()
+// runFifth submits a fifth of the 20,000 jobs to all dispatchers at once, and waits for the answers.
+func (s *agreementScenario) runFifth() {
+	const parts = 5
+	var clients sync.WaitGroup
+	for _, group := range s.groups {
+		clients.Go(func() { group.requestJobs(8000/parts, 6, &s.tally) })
+	}
+	for range 4 {
+		clients.Go(func() { s.requestGearmanJobs(1000 / parts) })
+	}
+	clients.Wait()
+}
+
+// requestGearmanJobs submits jobs by Gearman, one at a time.
+func (s *agreementScenario) requestGearmanJobs(jobs int) {
+	client := s.gearman.dial()
+	for i := range jobs {
+		client.send(gm.SubmitJob, []string{"safe", "once"}[i%2], "", fmt.Sprint(i))
+		for ended := false; !ended; {
+			kind := client.any().Kind
+			ended = kind == gm.WorkComplete || kind == gm.WorkFail
 		}
-		wg.Wait()
+		s.gearmanAnswers.Add(1)
 	}
-	parts(5)
-	s.carbon.Stop()
-	s.collectd.SetStalled(true)
-	parts(5)
-	for _, c := range groups {
-		c.replaceWorkers()
+}
+
+// replaceWorkers lists half the runners of each dispatcher under new names.
+func (s *agreementScenario) replaceWorkers() {
+	for _, group := range s.groups {
+		group.replaceWorkers()
 	}
-	old := groups[0].harness
-	var wg sync.WaitGroup
-	wg.Add(1)
-	go func() { defer wg.Done(); parts(5) }()
-	next := old.startSuccessor(o)
+}
+
+// upgradeUnderLoad upgrades n0 while jobs run. The predecessor's exit follows on exit.
+func (s *agreementScenario) upgradeUnderLoad() (next *harness, exit chan error) {
+	s.t.Helper()
+	var load sync.WaitGroup
+	load.Go(s.runFifth)
+	old := s.groups[0].harness
+	next = old.startSuccessor(s.firstOptions)
 	old.eventually("the old one leaves", func() bool { return strings.Contains(old.log.String(), "takes the clients") })
-	exit := old.terminate()
-	wg.Wait()
-	for _, c := range groups {
-		c.replaceWorkers()
-	}
-	s.collectd.SetStalled(false)
-	parts(5)
-	for i, c := range groups { // clients that disconnect
-		conn, err := net.Dial("tcp", c.harness.addr)
+	exit = old.terminate()
+	load.Wait()
+	return next, exit
+}
+
+// disconnectClients has a client of each HTTP front submit a job and disconnect.
+func (s *agreementScenario) disconnectClients() {
+	s.t.Helper()
+	for i, group := range s.groups {
+		conn, err := net.Dial("tcp", group.harness.addr)
 		if err != nil {
-			t.Fatal(err)
+			s.t.Fatal(err)
 		}
 		fmt.Fprintf(conn, "POST /score/x HTTP/1.1\r\nX-Call-Id: left%d\r\nX-Budget-Ms: 4900\r\n\r\n", i)
 		conn.Close()
-		gone.Add(1)
+		s.disconnectCount++
 	}
-	if err := s.carbon.Restart(); err != nil {
-		t.Fatal(err)
-	}
-	parts(5)
-	if err := <-exit; err != nil {
-		t.Errorf("the old one's exit: %v", err)
+}
+
+// logs returns the paths of all request logs.
+func (s *agreementScenario) logs() (paths []string) {
+	for _, name := range comparedNames {
+		paths = append(paths, s.log(name))
 	}
+	return paths
+}
 
-	var asked int64
-	for status := range tally {
-		if n := tally[status].Load(); n > 0 && status != 200 && status != 500 && status != 503 {
-			t.Errorf("%d answers of status %d", n, status)
+// countJobs checks the statuses that clients got, and returns the number of all jobs.
+func (s *agreementScenario) countJobs() (total int64) {
+	s.t.Helper()
+	for status := range s.tally {
+		n := s.tally[status].Load()
+		if n > 0 && status != 200 && status != 500 && status != 503 {
+			s.t.Errorf("%d answers of status %d", n, status)
 		}
-		asked += tally[status].Load()
+		total += n
 	}
-	total := asked + gearman.Load() + gone.Load()
+	total += s.gearmanAnswers.Load() + s.disconnectCount
 	if total < 20000 {
-		t.Errorf("%d jobs", total)
+		s.t.Errorf("%d jobs", total)
 	}
-	t.Cleanup(func() {
-		if t.Failed() {
-			out, err := s.audit(&s.carbon.Store, s.log("n0"), s.log("n1"), s.log("n2"))
-			t.Logf("%d jobs; at carbon: %v\n%s", total, err, out)
-		}
-	})
-	g.eventually("all lines", func() bool { return len(s.lines("n0"))+len(s.lines("n1"))+len(s.lines("n2")) >= int(total) })
+	return total
+}
+
+// checkReceivers checks that both receivers have all answers, and that the audit command finds them equal to the logs.
+func (s *agreementScenario) checkReceivers(total int64) {
+	s.t.Helper()
 	for name, store := range map[string]*receivers.Store{"carbon": &s.carbon.Store, "collectd": &s.collectd.Store} {
-		g.eventually(fmt.Sprintf("%d answers at %s", total, name), func() bool { return answers(store) >= float64(total) })
-		out, err := s.audit(store, s.log("n0"), s.log("n1"), s.log("n2"))
+		s.gearman.eventually(fmt.Sprintf("%d answers at %s", total, name), func() bool { return answers(store) >= float64(total) })
+		out, err := s.audit(store, s.logs()...)
 		if err != nil || answers(store) != float64(total) {
-			t.Errorf("%s: %v, %v answers of %d\n%s", name, err, answers(store), total, out)
+			s.t.Errorf("%s: %v, %v answers of %d\n%s", name, err, answers(store), total, out)
 		}
 		if bad := store.Malformed(); len(bad) > 0 {
-			t.Errorf("%s: %d things made no sense, such as %s", name, len(bad), bad[0])
+			s.t.Errorf("%s: %d things made no sense, such as %s", name, len(bad), bad[0])
 		}
 	}
-	s.agree(&tally, gone.Load())
+}
 
-	// Every period that n1 closed is at collectd, and each second of them at carbon.
+// checkPeriods checks that every period that n1 closed is at collectd, and each second of them at carbon.
+func (s *agreementScenario) checkPeriods() {
+	s.t.Helper()
 	const periods = "n1/cinderroad/derive-telemetry_periods"
 	stamps := s.collectd.Timestamps(periods)
 	if last, _ := s.collectd.Last(periods); last != float64(len(stamps)) {
-		t.Errorf("%v periods closed, %d at collectd", last, len(stamps))
+		s.t.Errorf("%v periods closed, %d at collectd", last, len(stamps))
 	}
-	at := s.carbon.Timestamps("cinderroad.n1.telemetry.periods")
+	atCarbon := s.carbon.Timestamps("cinderroad.n1.telemetry.periods")
 	for _, stamp := range stamps[:len(stamps)-5] {
-		if _, there := slices.BinarySearch(at, float64(int64(stamp))); !there {
-			t.Errorf("nothing of second %d at carbon", int64(stamp))
+		if _, found := slices.BinarySearch(atCarbon, float64(int64(stamp))); !found {
+			s.t.Errorf("nothing of second %d at carbon", int64(stamp))
 		}
 	}
+}
+
+// checkNodeSeries checks that the series of nodes have not multiplied with the names that these had.
+func (s *agreementScenario) checkNodeSeries() {
+	s.t.Helper()
 	nodes := 0
 	for _, name := range s.carbon.Names() {
 		if strings.Contains(name, ".nodes.") && strings.HasSuffix(name, ".ended") {
@@ -372,22 +404,19 @@
 		}
 	}
 	if nodes != 4+4+4 {
-		t.Errorf("series of %d nodes", nodes)
-	}
-	if err := <-next.terminate(); err != nil {
-		t.Errorf("the new one's exit: %v", err)
+		s.t.Errorf("series of %d nodes", nodes)
 	}
 }
 
-// agree checks the request logs against what the clients got.
-func (h *telemetryHarness) agree(tally *[600]atomic.Int64, gone int64) {
-	h.t.Helper()
+// checkLogs checks the request logs against what the clients got.
+func (s *agreementScenario) checkLogs() {
+	s.t.Helper()
 	count := map[string]int64{}
 	ids := map[string]bool{}
-	for _, name := range []string{"n0", "n1", "n2"} {
-		for _, l := range h.lines(name) {
+	for _, name := range comparedNames {
+		for _, l := range s.lines(name) {
 			if key := l.Dispatcher + " " + l.ID; ids[key] {
-				h.t.Errorf("two final answers of %s", key)
+				s.t.Errorf("two final answers of %s", key)
 			} else {
 				ids[key] = true
 			}
@@ -396,18 +425,61 @@
 			}
 		}
 	}
-	servedFirst := gone - count["gone"] // clients that disconnected, but only once they were served
+	servedFirst := s.disconnectCount - count["gone"] // clients that disconnected, but only once they were served
 	for what, pair := range map[string][2]int64{
-		"served":  {tally[200].Load(), count["in_time"] + count["late"] - servedFirst},
-		"refused": {tally[503].Load(), count["refused"]},
-		"failed":  {tally[500].Load(), count["failed"]},
+		"served":  {s.tally[200].Load(), count["in_time"] + count["late"] - servedFirst},
+		"refused": {s.tally[503].Load(), count["refused"]},
+		"failed":  {s.tally[500].Load(), count["failed"]},
 	} {
 		if pair[0] != pair[1] {
-			h.t.Errorf("%s: clients got %d, the logs have %d", what, pair[0], pair[1])
+			s.t.Errorf("%s: clients got %d, the logs have %d", what, pair[0], pair[1])
 		}
 	}
 	if count["failed"] == 0 {
-		h.t.Error("no job failed: the story is not what it says")
+		s.t.Error("no job failed: the story is not what it says")
+	}
+}
+
+// TestMetricsAndLogsAgree sends 20,000 jobs through three dispatchers and both fronts, while one receiver is away and the
+// other silent, half of the list is renamed twice and one dispatcher is upgraded. What the receivers have equals the
+// request logs, answer for answer, and equals what the clients got; every period of the outage is there; and series have
+// not multiplied. It is one scenario whose steps build on each other, and so one function.
+func TestMetricsAndLogsAgree(t *testing.T) {
+	s := newAgreementScenario(t)
+	s.runFifth()
+	s.carbon.Stop()
+	s.collectd.SetStalled(true)
+	s.runFifth()
+	s.replaceWorkers()
+	next, exit := s.upgradeUnderLoad()
+	s.replaceWorkers()
+	s.collectd.SetStalled(false)
+	s.runFifth()
+	s.disconnectClients()
+	if err := s.carbon.Restart(); err != nil {
+		t.Fatal(err)
+	}
+	s.runFifth()
+	if err := <-exit; err != nil {
+		t.Errorf("the old one's exit: %v", err)
+	}
+
+	total := s.countJobs()
+	t.Cleanup(func() {
+		if t.Failed() {
+			out, err := s.audit(&s.carbon.Store, s.logs()...)
+			t.Logf("%d jobs; at carbon: %v\n%s", total, err, out)
+		}
+	})
+	s.gearman.eventually("all lines", func() bool {
+		return len(s.lines("n0"))+len(s.lines("n1"))+len(s.lines("n2")) >= int(total)
+	})
+	s.checkReceivers(total)
+	s.checkLogs()
+	s.checkPeriods()
+	s.checkNodeSeries()
+	if err := <-next.terminate(); err != nil {
+		t.Errorf("the new one's exit: %v", err)
 	}
 }
 
@@ -427,7 +499,7 @@
 	c.harness.start(o)
 	c.requestJobs(50, 4, &tally)
 	c.harness.eventually("100 answers", func() bool { return answers(&s.carbon.Store) == 100 })
-	// Away while periods end and the process is killed: the next life delivers them.
+	// Away while periods end and the process is killed: the next process delivers them.
 	s.carbon.Stop()
 	c.requestJobs(50, 4, &tally)
 	c.harness.eventually("150 answers at the other receiver", func() bool { return answers(&s.collectd.Store) == 150 })
@@ -467,7 +539,7 @@
 		if len(s.carbon.Timestamps("cinderroad.n0.program.started")) == 0 {
 			t.Error("no word of the start")
 		}
-		time.Sleep(1100 * time.Millisecond) // Graphite's stamps are seconds: the next life's must not meet this one's
+		time.Sleep(1100 * time.Millisecond) // Graphite's stamps are seconds: the next process's must not meet this one's
 		c.harness.start(o)
 		c.harness.eventually("a new start", func() bool { return answers(&s.carbon.Store) == 0 })
 		time.Sleep(1100 * time.Millisecond) // nor what it counts its own beginning
--- a/internal/dispatcher/server/server.go
+++ b/internal/dispatcher/server/server.go
@@ -29,7 +29,8 @@
 
 	// The soft limit of the Go runtime as a part of the deployment's memory limit: the garbage collector works harder from
 	// there on, well before the process would be killed.
-	softMemoryNumerator, softMemoryDenominator = 6, 10
+	softMemoryNumerator   = 6
+	softMemoryDenominator = 10
 )
 
 // clock has the dispatcher's deadlines kept by the event loop.
@@ -81,7 +82,8 @@
 // receives signals ends with the process.
 func Run(config *Config, log *zap.Logger) error {
 	// Signals are taken before the port opens: whoever finds it open may send one.
-	stops, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	stops := make(chan os.Signal, 1)
+	reloads := make(chan os.Signal, 1)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
 	s, err := newServer(config, log)
@@ -118,9 +120,12 @@
 // upgrade each of the two processes has half of them.
 func (s *Server) applyLimits() {
 	runtime.GOMAXPROCS(1)
-	limits, reserved := s.config.Limits, reservedDescriptors
+	limits := s.config.Limits
+	reserved := reservedDescriptors
 	if s.upgrade.bothRunning() {
-		limits.Sockets, limits.MemoryMB, reserved = limits.Sockets/2, limits.MemoryMB/2, reservedDescriptors/2
+		limits.Sockets /= 2
+		limits.MemoryMB /= 2
+		reserved /= 2
 	}
 	s.loop.SetSocketLimit(limits.Sockets - reserved)
 	s.limiter.SetMemory(limits.MemoryMB)
@@ -141,24 +146,7 @@
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	s.dispatcher.Log = func(line string) { log.Info("brain: " + line) }
-	settings := &config.dispatcherSettings
-	s.pool = httpfront.NewPool(loop, log, httpfront.PoolOptions{
-		ConnectTimeout: settings.Limits.ConnectTimeoutS,
-		IdleTimeout:    settings.Limits.ConnIdleS,
-		ProbeTimeout:   2 * settings.Limits.ConnectTimeoutS,
-		ReportFields:   settings.Report.LoadFields,
-	})
-	s.pool.SetDispatcher(s.dispatcher)
-	s.limiter = admission.New(loop, config.Limits.MemoryMB)
-	s.front = httpfront.NewFront(loop, log, s.dispatcher, s.pool, s.limiter, &config.balancerSettings)
-	// When descriptors run short, the cheapest connection is closed: an idle client session first, then an idle backend connection.
-	loop.FreeDescriptor = func() bool {
-		return s.front.EvictIdle() || s.pool.EvictIdle() || s.gearman != nil && s.gearman.EvictIdle()
-	}
-	s.discovery = httpfront.NewDiscoveryClient(loop, log, config.discovery, s.dispatcher, s.pool,
-		settings.FailureDomains, settings.Kinds, config.seed)
-	s.discovery.Instances = config.balancerSettings.Instances
-	s.dispatcher.Discovery = s.discovery
+	s.connectDispatcher()
 	if s.reporting, err = newReporting(s); err != nil {
 		return nil, err
 	}
@@ -183,6 +171,29 @@
 	return s, s.startWithoutPredecessor()
 }
 
+// connectDispatcher builds the HTTP front, the connections to workers and the discovery client. None is started.
+func (s *Server) connectDispatcher() {
+	loop, log, config := s.loop, s.log, s.config
+	settings := &config.dispatcherSettings
+	s.pool = httpfront.NewPool(loop, log, httpfront.PoolOptions{
+		ConnectTimeout: settings.Limits.ConnectTimeoutS,
+		IdleTimeout:    settings.Limits.ConnIdleS,
+		ProbeTimeout:   2 * settings.Limits.ConnectTimeoutS,
+		ReportFields:   settings.Report.LoadFields,
+	})
+	s.pool.SetDispatcher(s.dispatcher)
+	s.limiter = admission.New(loop, config.Limits.MemoryMB)
+	s.front = httpfront.NewFront(loop, log, s.dispatcher, s.pool, s.limiter, &config.balancerSettings)
+	// When descriptors run short, the cheapest connection is closed: an idle client session first, then an idle backend connection.
+	loop.FreeDescriptor = func() bool {
+		return s.front.EvictIdle() || s.pool.EvictIdle() || s.gearman != nil && s.gearman.EvictIdle()
+	}
+	s.discovery = httpfront.NewDiscoveryClient(loop, log, config.discovery, s.dispatcher, s.pool,
+		settings.FailureDomains, settings.Kinds, config.seed)
+	s.discovery.Instances = config.balancerSettings.Instances
+	s.dispatcher.Discovery = s.discovery
+}
+
 // startWithoutPredecessor starts serving from the configuration and from what earlier processes left on disk.
 func (s *Server) startWithoutPredecessor() error {
 	s.restoreExclusions()
--- a/internal/dispatcher/server/shutdown.go
+++ b/internal/dispatcher/server/shutdown.go
@@ -44,11 +44,28 @@
 // exitWhenDone ends the loop once no job, call, session or report is pending, and checks again after drainCheckInterval
 // until then.
 func (s *Server) exitWhenDone() {
-	if counts := s.dispatcher.Counts(); counts.OpenRequests == 0 && s.front.Idle() && (s.gearman == nil || s.gearman.Idle()) &&
-		s.upgrade.done() && (s.admin == nil || s.admin.OpenCalls() == 0) && s.reporting.finished() {
+	if s.done() {
 		s.leaveCluster()
 		s.loop.Stop()
 		return
 	}
 	s.loop.At(s.loop.Now()+drainCheckInterval, s.exitWhenDone)
 }
+
+// done reports whether no job, call, session or report is pending. The reporting is asked last, since it closes the last
+// period then.
+func (s *Server) done() bool {
+	if s.dispatcher.Counts().OpenRequests != 0 || !s.front.Idle() {
+		return false
+	}
+	if s.gearman != nil && !s.gearman.Idle() {
+		return false
+	}
+	if !s.upgrade.done() {
+		return false
+	}
+	if s.admin != nil && s.admin.OpenCalls() != 0 {
+		return false
+	}
+	return s.reporting.finished()
+}
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -141,7 +141,8 @@
 		return
 	}
 	s.log.Warn("program: the next process has gone, taking back", zap.Error(err))
-	u.clientsHandedOver, u.sessionsInTransit = false, 0
+	u.clientsHandedOver = false
+	u.sessionsInTransit = 0
 	s.front.SetSuccessor(nil)
 	s.listener.SetSuspended(false)
 	s.reporting.resume()
@@ -171,7 +172,8 @@
 	case link == u.successor && kind == handover.Takeover && !u.clientsHandedOver:
 		u.handOverClients()
 	case link == u.successor && kind == handover.SessionReceived && u.clientsHandedOver:
-		if u.sessionsInTransit--; u.sessionsInTransit <= maxSessionsInTransit/2 {
+		u.sessionsInTransit--
+		if u.sessionsInTransit <= maxSessionsInTransit/2 {
 			u.server.front.OfferSessions()
 		}
 	case link == u.predecessor && kind == handover.State && !u.stateReceived:
--- a/internal/dispatcher/server/upgrade_queries.go
+++ b/internal/dispatcher/server/upgrade_queries.go
@@ -38,7 +38,8 @@
 // with true as soon as one process answers yes, otherwise with the last answer once all have answered or are lost. False: there is
 // nobody to ask, and done is not called.
 func (u *upgrade) queryOthers(kind handover.Kind, body []byte, except *handover.Link, done func(yes bool)) bool {
-	pending, answered := 0, false
+	pending := 0 // processes that owe an answer
+	answered := false
 	for _, link := range []*handover.Link{u.predecessor, u.successor} {
 		if link == nil || link == except || !u.takesQueries(link, kind) {
 			continue
--- a/internal/dispatcher/server/upgrade_successor.go
+++ b/internal/dispatcher/server/upgrade_successor.go
@@ -54,7 +54,8 @@
 	if err != nil {
 		return err
 	}
-	message.Gearman, message.GearmanListen = true, server.gearman.Listener().Addr().String()
+	message.Gearman = true
+	message.GearmanListen = server.gearman.Listener().Addr().String()
 	return u.successor.SendDescriptor(handover.State, message, nil, fd)
 }
 
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -60,88 +60,157 @@
 	io.Copy(io.Discard, r.Body)
 }
 
-// TestUpgrade guards against an upgrade that ends a client's connection, a job, or the path of its callback; against a
-// successor that forgets exclusions, and a predecessor that is not informed of them; and against upgrades that work only
-// once. Its steps build on each other, and so it is one function.
-func TestUpgrade(t *testing.T) {
-	var w *harness
-	release := make(chan bool)
-	handle := func(uid string) func(int, http.ResponseWriter, *http.Request) {
-		return func(n int, rw http.ResponseWriter, r *http.Request) {
-			if !strings.HasPrefix(r.URL.Path, "/score/held") {
-				w.replyWith(uid, uid)(n, rw, r)
-				return
-			}
-			id := r.Header.Get("X-Call-Id")
-			rw.WriteHeader(202)
-			go func() {
-				w.reportResult(id, uid, `"state":"started"`)
-				<-release
-				w.reportResult(id, uid, `"state":"done","result":"late"`)
-			}()
+// upgradeScenario is a dispatcher with three runners and four client sessions, each in another state when the dispatcher is
+// upgraded. s-b is excluded.
+type upgradeScenario struct {
+	t        *testing.T
+	options  options
+	first    *harness
+	a, b, c  *runner
+	release  chan bool // closed to end the job that is held
+	fresh    net.Conn  // has said nothing
+	rested   net.Conn  // has had an answer
+	halfway  net.Conn  // has sent part of a request
+	working  net.Conn  // has a job at a runner, which is held
+	halfSent string    // what halfway has sent
+}
+
+func newUpgradeScenario(t *testing.T) *upgradeScenario {
+	t.Helper()
+	s := &upgradeScenario{
+		t:        t,
+		options:  options{console: true, tempDir: t.TempDir()},
+		release:  make(chan bool),
+		halfSent: "POST /score/a HTT",
+	}
+	s.options.listen, s.options.inherit = inheritedListener(t)
+	s.a = newRunner(t, "s-a", s.serveOrHold("s-a"))
+	s.b = newRunner(t, "s-b", s.serveOrHold("s-b"))
+	s.c = newRunner(t, "s-c", s.serveOrHold("s-c"))
+	s.first = startHarness(t, s.options, s.a.target("ready", 0), s.b.target("ready", 0), s.c.target("ready", 0))
+	s.first.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-b"}`)
+	s.fresh = s.first.dial()
+	s.rested = s.first.dial()
+	s.halfway = s.first.dial()
+	s.working = s.first.dial()
+	return s
+}
+
+// serveOrHold returns a runner's handler that holds jobs of path /score/held until release is closed, and serves others with
+// the runner's name as their result.
+func (s *upgradeScenario) serveOrHold(uid string) func(int, http.ResponseWriter, *http.Request) {
+	return func(n int, rw http.ResponseWriter, r *http.Request) {
+		if !strings.HasPrefix(r.URL.Path, "/score/held") {
+			s.first.replyWith(uid, uid)(n, rw, r)
+			return
 		}
+		id := r.Header.Get("X-Call-Id")
+		rw.WriteHeader(202)
+		go func() {
+			s.first.reportResult(id, uid, `"state":"started"`)
+			<-s.release
+			s.first.reportResult(id, uid, `"state":"done","result":"late"`)
+		}()
 	}
-	a, b, c := newRunner(t, "s-a", handle("s-a")), newRunner(t, "s-b", handle("s-b")), newRunner(t, "s-c", handle("s-c"))
-	o := options{console: true, tempDir: t.TempDir()}
-	o.listen, o.inherit = inheritedListener(t)
-	w = startHarness(t, o, a.target("ready", 0), b.target("ready", 0), c.target("ready", 0))
-	w.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-b"}`)
+}
 
-	fresh, rested, half, working := w.dial(), w.dial(), w.dial(), w.dial()
-	postJob(rested, "a", "r0", "")
-	served(t, "before", rested)
-	io.WriteString(half, "POST /score/a HTT")
-	postJob(working, "held", "w0", "")
-	w.eventually("the job that is held", func() bool { return a.jobs()+c.jobs() == 2 })
+// useSessions brings the sessions into their states.
+func (s *upgradeScenario) useSessions() {
+	s.t.Helper()
+	postJob(s.rested, "a", "r0", "")
+	served(s.t, "before", s.rested)
+	io.WriteString(s.halfway, s.halfSent)
+	postJob(s.working, "held", "w0", "")
+	s.first.eventually("the job that is held", func() bool { return s.a.jobs()+s.c.jobs() == 2 })
+}
 
-	next := w.startSuccessor(o)
+// upgradeFirst starts the first successor, and checks that it has the exclusions and serves the sessions.
+func (s *upgradeScenario) upgradeFirst() (next *harness) {
+	s.t.Helper()
+	next = s.first.startSuccessor(s.options)
 	next.callAdmin(200, "GET", "/api/ready", "")
 	if !strings.Contains(next.log.String(), `"members_out": 1`) {
-		t.Error("the new one has not taken over who is out")
+		s.t.Error("the new one has not taken over who is out")
 	}
-	w.eventually("the old one leaves", func() bool { return strings.Contains(w.log.String(), "takes the clients") })
-	postJob(rested, "a", "r1", "")
-	served(t, "a session that had rested", rested)
-	postJob(half, "a", "h0", "POST /score/a HTT")
-	served(t, "a session that was half way", half)
-	postJob(fresh, "a", "f0", "")
-	served(t, "a session that had said nothing", fresh)
+	s.first.eventually("the old one leaves", func() bool { return strings.Contains(s.first.log.String(), "takes the clients") })
+	postJob(s.rested, "a", "r1", "")
+	served(s.t, "a session that had rested", s.rested)
+	postJob(s.halfway, "a", "h0", s.halfSent)
+	served(s.t, "a session that was half way", s.halfway)
+	postJob(s.fresh, "a", "f0", "")
+	served(s.t, "a session that had said nothing", s.fresh)
+	return next
+}
+
+// changeExclusions gives orders to the successor, and checks that the predecessor receives them and that excluded workers
+// stay unused.
+func (s *upgradeScenario) changeExclusions(next *harness) {
+	s.t.Helper()
 	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the predecessor is informed, too
-	w.eventually("the old one obeys", func() bool { return strings.Contains(w.log.String(), `program: exclude	{"member": "s-c"}`) })
+	s.first.eventually("the old one obeys", func() bool {
+		return strings.Contains(s.first.log.String(), `program: exclude	{"member": "s-c"}`)
+	})
 	next.callAdmin(200, "PUT", "/api/include", `{"member":"s-c"}`)
 	for range 20 { // enough to find an excluded worker that is used
 		if status, _, _ := next.requestJob("score", 4000); status != 200 {
-			t.Errorf("the new one answered %d", status)
+			s.t.Errorf("the new one answered %d", status)
 		}
 	}
-	exit := w.terminate()
-	close(release) // the successor gets the callback of its predecessor's job
-	served(t, "the job that was open", working)
+}
+
+// endFirst ends the predecessor, and checks that the job which it had is answered and its session goes on.
+func (s *upgradeScenario) endFirst() {
+	s.t.Helper()
+	exit := s.first.terminate()
+	close(s.release) // the successor gets the callback of its predecessor's job
+	served(s.t, "the job that was open", s.working)
 	if err := <-exit; err != nil {
-		t.Errorf("the old one's exit: %v", err)
+		s.t.Errorf("the old one's exit: %v", err)
 	}
-	postJob(working, "a", "w1", "")
-	served(t, "the session that was at work", working)
-	if b.jobs() != 0 {
-		t.Errorf("%d jobs for the member that is out", b.jobs())
+	postJob(s.working, "a", "w1", "")
+	served(s.t, "the session that was at work", s.working)
+	if s.b.jobs() != 0 {
+		s.t.Errorf("%d jobs for the member that is out", s.b.jobs())
 	}
+}
 
-	last := next.startSuccessor(o)
+// upgradeAgain starts a second successor, and checks that it serves the sessions and takes orders.
+func (s *upgradeScenario) upgradeAgain(next *harness) {
+	s.t.Helper()
+	last := next.startSuccessor(s.options)
 	last.callAdmin(200, "GET", "/api/ready", "")
 	if err := <-next.terminate(); err != nil {
-		t.Errorf("the second one's exit: %v", err)
+		s.t.Errorf("the second one's exit: %v", err)
+	}
+	sessions := map[string]net.Conn{
+		"fresh":   s.fresh,
+		"rested":  s.rested,
+		"half":    s.halfway,
+		"working": s.working,
 	}
-	for name, c := range map[string]net.Conn{"fresh": fresh, "rested": rested, "half": half, "working": working} {
+	for name, c := range sessions {
 		postJob(c, "a", name, "")
-		served(t, "after the second upgrade, "+name, c)
+		served(s.t, "after the second upgrade, "+name, c)
 	}
 	last.callAdmin(200, "PUT", "/api/include", `{"member":"s-b"}`)
-	w.eventually("it is used again", func() bool {
+	s.first.eventually("it is used again", func() bool {
 		_, body, _ := last.requestJob("score", 4000)
 		return body == "s-b"
 	})
 }
 
+// TestUpgrade guards against an upgrade that ends a client's connection, a job, or the path of its callback; against a
+// successor that forgets exclusions, and a predecessor that is not informed of them; and against upgrades that work only
+// once. Its steps build on each other, and so it is one function.
+func TestUpgrade(t *testing.T) {
+	s := newUpgradeScenario(t)
+	s.useSessions()
+	next := s.upgradeFirst()
+	s.changeExclusions(next)
+	s.endFirst()
+	s.upgradeAgain(next)
+}
+
 // TestUpgradeFailure guards against a failed upgrade that leaves nobody to serve: the successor ends before or after it
 // took the clients over, is of another version, or the predecessor is killed with a job open.
 func TestUpgradeFailure(t *testing.T) {
@@ -242,7 +311,8 @@
 	for b := make([]byte, 64<<10); ; {
 		kind, body, n, err := handover.ParseFrame(got)
 		if err == nil {
-			if got = got[n:]; kind == want {
+			got = got[n:]
+			if kind == want {
 				return body
 			}
 			continue
@@ -306,7 +376,8 @@
 	o := options{console: true, tempDir: t.TempDir(), cold: 0.001}
 	o.listen, o.inherit = inheritedListener(t)
 	g := startGearmanHarness(t, o, 5)
-	worker, release := g.dial(), make(chan bool)
+	worker := g.dial()
+	release := make(chan bool)
 	worker.serveJobs(gm.GrabJobUniq, func(handle, function, data string) bool {
 		<-release
 		return worker.echo(handle, function, data)
