--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -156,8 +156,12 @@
 	r.Omitted = invalid.Omitted
 	for _, problem := range invalid.Problems {
 		line, column := position(body, problem.Offset)
-		r.Problems = append(r.Problems, problemReport{Path: problem.Path, Line: line, Column: column,
-			Message: problem.Message})
+		r.Problems = append(r.Problems, problemReport{
+			Path:    problem.Path,
+			Line:    line,
+			Column:  column,
+			Message: problem.Message,
+		})
 	}
 }
 
--- a/cmd/cinderctl/fake_test.go
+++ b/cmd/cinderctl/fake_test.go
@@ -140,20 +140,37 @@
 }
 
 func newStatus(node string, leads bool) status.Control {
-	partition := status.Partition{Replica: "0b", Role: "follower", Term: 5, Leader: "0a", CommitIndex: 9, AppliedIndex: 9, LastIndex: 9,
-		Replicas: []status.Replica{{Replica: "0a", Node: "core-1", Zone: "a", Address: "127.0.1.1:7660", Voter: true},
-			{Replica: "0b", Node: "core-2", Zone: "b", Address: "127.0.1.2:7660"}}}
+	partition := status.Partition{
+		Replica:      "0b",
+		Role:         "follower",
+		Term:         5,
+		Leader:       "0a",
+		CommitIndex:  9,
+		AppliedIndex: 9,
+		LastIndex:    9,
+		Replicas: []status.Replica{
+			{Replica: "0a", Node: "core-1", Zone: "a", Address: "127.0.1.1:7660", Voter: true},
+			{Replica: "0b", Node: "core-2", Zone: "b", Address: "127.0.1.2:7660"},
+		},
+	}
 	if leads {
 		partition.Replica, partition.Role, partition.LeaseMS = "0a", "leader", 900
 	}
-	return status.Control{Node: node, Release: "abc", Version: 7, EvacuatedZones: []string{"a"}, ActiveProxies: 4, ReadyProxies: 3,
-		Discovery:  status.Discovery{Holder: leads, ListReceived: leads, ListAgeMS: 120},
-		Partitions: []status.Partition{partition},
-		Followers:  []status.Follower{{Node: "edge-1", ConfigurationIndex: 9}, {Node: "edge-2", Behind: true}},
+	return status.Control{
+		Node:           node,
+		Release:        "abc",
+		Version:        7,
+		EvacuatedZones: []string{"a"},
+		ActiveProxies:  4,
+		ReadyProxies:   3,
+		Discovery:      status.Discovery{Holder: leads, ListReceived: leads, ListAgeMS: 120},
+		Partitions:     []status.Partition{partition},
+		Followers:      []status.Follower{{Node: "edge-1", ConfigurationIndex: 9}, {Node: "edge-2", Behind: true}},
 		Members: []status.Member{
 			{Node: "core-1", Address: "127.0.1.1", State: "alive", Role: "control", Zone: "a"},
 			{Node: "core-2", Address: "127.0.1.2", State: "alive", Role: "control", Zone: "b"},
 			{Node: "core-3", Address: "127.0.1.3", State: "suspect", StateAgeMS: 12345, Role: "control", Zone: "c"},
 			{Node: "edge-1", Address: "127.0.1.9", State: "alive", Role: "edge", Zone: "a", Serving: "serving"},
-		}}
+		},
+	}
 }
--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -70,8 +70,12 @@
 			continue
 		}
 		address := net.JoinHostPort(member.Address, port) // all machines of a system use the same ports
-		machine := client.Client{Addresses: []string{address}, Timeout: min(machineTimeout, s.flags.Within),
-			MaxAttempts: machineAttempts, Sleep: s.sleep}
+		machine := client.Client{
+			Addresses:   []string{address},
+			Timeout:     min(machineTimeout, s.flags.Within),
+			MaxAttempts: machineAttempts,
+			Sleep:       s.sleep,
+		}
 		_, description, err := machine.Status(s.context)
 		if err != nil {
 			report.Unreachable = append(report.Unreachable, unreachableMachine{Address: address, Problem: err.Error()})
--- a/cmd/cinderroad-control/main.go
+++ b/cmd/cinderroad-control/main.go
@@ -27,7 +27,11 @@
 
 func run(program *startup.Program, log *zap.Logger) error {
 	return program.Run(log, func(ctx context.Context, settings *processconfig.Settings, log *zap.Logger) (startup.Process, error) {
-		return control.Start(ctx, control.Options{Settings: settings, Version: program.Version, Log: log,
-			MetricsAddress: program.MetricsAddress(settings.IP)})
+		return control.Start(ctx, control.Options{
+			Settings:       settings,
+			Version:        program.Version,
+			Log:            log,
+			MetricsAddress: program.MetricsAddress(settings.IP),
+		})
 	})
 }
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -315,7 +315,9 @@
 		Snapshot:  true,
 		To:        20,
 		Items: []feed.Item{
-			{Key: "runner/r-1", Index: 20, Value: []byte("one")}, {Key: "runner/r-2", Index: 20, Value: []byte{}}},
+			{Key: "runner/r-1", Index: 20, Value: []byte("one")},
+			{Key: "runner/r-2", Index: 20, Value: []byte{}},
+		},
 	})
 }
 
--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -70,7 +70,8 @@
 // earlier malformed field.
 func (r *Reader) Fail(field string) {
 	if !r.failed {
-		r.malformed, r.failed = field, true
+		r.malformed = field
+		r.failed = true
 	}
 	r.next = len(r.data)
 }
--- a/internal/system/configuration/apply.go
+++ b/internal/system/configuration/apply.go
@@ -10,7 +10,8 @@
 	changed.routes = replaceEntries(removeEntries(changed.routes, change.removedRoutes), change.routes)
 	changed.services = replaceEntries(removeEntries(changed.services, change.removedServices), change.services)
 	if change.limits != nil {
-		changed.limits, changed.rawLimits = change.limits, change.rawLimits
+		changed.limits = change.limits
+		changed.rawLimits = change.rawLimits
 	}
 	for _, removed := range change.removedExtras {
 		changed.removeFromExtra(removed)
--- a/internal/system/configuration/items.go
+++ b/internal/system/configuration/items.go
@@ -104,8 +104,12 @@
 	entries []entry[M], known *entry[M], value []byte, parse func(jsonfield.Value) *M, name func(*M) string,
 ) ([]entry[M], error) {
 	if known != nil && len(value) >= ordinalSize && bytes.Equal(known.raw, value[ordinalSize:]) {
-		same := entry[M]{name: known.name, ordinal: binary.BigEndian.Uint64(value), raw: value[ordinalSize:],
-			model: known.model}
+		same := entry[M]{
+			name:    known.name,
+			ordinal: binary.BigEndian.Uint64(value),
+			raw:     value[ordinalSize:],
+			model:   known.model,
+		}
 		return append(entries, same), nil
 	}
 	model, err := decodeWithOrdinal(value, parse)
--- a/internal/system/configuration/ordinals.go
+++ b/internal/system/configuration/ordinals.go
@@ -17,7 +17,8 @@
 func alignOrdinals(current []uint64) []uint64 {
 	aligned := make([]uint64, len(current))
 	kept := longestIncreasing(current)
-	previous, next := uint64(0), 0
+	previous := uint64(0)
+	next := 0
 	for _, position := range append(kept, len(current)) {
 		if !assignBetween(aligned[next:position], previous, ordinalAt(current, position)) {
 			return evenOrdinals(len(current))
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -74,7 +74,8 @@
 		document.services = parseEntries(value, parseService, serviceName)
 		r.hasServices = true
 	case fieldLimits:
-		document.limits, document.rawLimits = parseLimits(value), value.Raw()
+		document.limits = parseLimits(value)
+		document.rawLimits = value.Raw()
 	default:
 		document.setExtra(extraField{name: name, raw: value.Raw()})
 	}
--- a/internal/system/configuration/parse_test.go
+++ b/internal/system/configuration/parse_test.go
@@ -63,16 +63,29 @@
 	document := mustParse(t, sampleDocument, 6)
 	wantRoutes := []*Route{
 		{
-			Name: "r-1", Host: "a.example", PathPrefix: "/one/", Type: Streaming, Timeout: 5 * time.Second,
-			LatencyTarget: 800 * time.Millisecond, EventGapTarget: 400 * time.Millisecond, Rank: 1, MaxAttempts: 1,
+			Name:           "r-1",
+			Host:           "a.example",
+			PathPrefix:     "/one/",
+			Type:           Streaming,
+			Timeout:        5 * time.Second,
+			LatencyTarget:  800 * time.Millisecond,
+			EventGapTarget: 400 * time.Millisecond,
+			Rank:           1,
+			MaxAttempts:    1,
 			PrefixAffinity: true,
 			Shares:         []Share{{Service: "engine", Weight: 90}, {Service: "plain", Weight: 10}},
 			HomeRegions:    []string{"north"},
 		},
 		{
-			Name: "r-2", Host: "a.example", PathPrefix: "/two/", Type: ReadOnly, Timeout: 3 * time.Second,
-			LatencyTarget: 600500 * time.Microsecond, MaxAttempts: 2, Resumable: true,
-			Shares: []Share{{Service: "plain", Weight: 1}},
+			Name:          "r-2",
+			Host:          "a.example",
+			PathPrefix:    "/two/",
+			Type:          ReadOnly,
+			Timeout:       3 * time.Second,
+			LatencyTarget: 600500 * time.Microsecond,
+			MaxAttempts:   2,
+			Resumable:     true,
+			Shares:        []Share{{Service: "plain", Weight: 1}},
 		},
 	}
 	if got := document.Routes(); !reflect.DeepEqual(got, wantRoutes) {
@@ -80,11 +93,18 @@
 	}
 	wantServices := []*Service{
 		{
-			Name: "engine", HealthPath: "/health", MaxConnections: 360, SlowStartDuration: 3 * time.Second,
-			SlowStartRate: 9.2,
+			Name:              "engine",
+			HealthPath:        "/health",
+			MaxConnections:    360,
+			SlowStartDuration: 3 * time.Second,
+			SlowStartRate:     9.2,
 			Backend: &Backend{
-				Capacity: 64, CacheTokens: 230413, CacheBytesPerToken: 327680, LinkMbps: 550000, TokensPerEvent: 4,
-				Models: []string{"m"},
+				Capacity:           64,
+				CacheTokens:        230413,
+				CacheBytesPerToken: 327680,
+				LinkMbps:           550000,
+				TokensPerEvent:     4,
+				Models:             []string{"m"},
 			},
 		},
 		{Name: "plain", HealthPath: "/health", MaxConnections: 100},
@@ -93,7 +113,10 @@
 		t.Errorf("services %+v %+v", got[0], got[1])
 	}
 	wantLimits := Limits{
-		MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second,
+		MaxHeaderBytes: 16384,
+		MaxBodyBytes:   4194304,
+		HeaderTimeout:  3 * time.Second,
+		IdleTimeout:    15 * time.Second,
 	}
 	if got, known := document.Limits(); !known || got != wantLimits {
 		t.Errorf("limits %+v", got)
--- a/internal/system/consensus/arbitrary_input_test.go
+++ b/internal/system/consensus/arbitrary_input_test.go
@@ -44,10 +44,17 @@
 
 // message draws a message that may be valid: its numbers are near those of the node.
 func (test *robustnessTest) message(t *rapid.T) Message {
-	msg := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)+1).Draw(t, "kind")),
-		From: ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")), To: 1, Term: test.node.term + drawSmallUint(t, "term") - 2,
-		Commit: drawSmallUint(t, "commit"), RejectHint: drawSmallUint(t, "hint"), Round: drawSmallUint(t, "round"),
-		Reject: rapid.Bool().Draw(t, "reject"), Force: rapid.Bool().Draw(t, "force")}
+	msg := Message{
+		Kind:       MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)+1).Draw(t, "kind")),
+		From:       ReplicaID(rapid.IntRange(0, 4).Draw(t, "from")),
+		To:         1,
+		Term:       test.node.term + drawSmallUint(t, "term") - 2,
+		Commit:     drawSmallUint(t, "commit"),
+		RejectHint: drawSmallUint(t, "hint"),
+		Round:      drawSmallUint(t, "round"),
+		Reject:     rapid.Bool().Draw(t, "reject"),
+		Force:      rapid.Bool().Draw(t, "force"),
+	}
 	msg.Index = test.node.log.lastIndex() + drawSmallUint(t, "index") - 4
 	msg.LogTerm = drawSmallUint(t, "log term")
 	if term, known := test.node.log.term(msg.Index); known && rapid.Bool().Draw(t, "right term") {
@@ -154,8 +161,14 @@
 			},
 			"acknowledge": func(t *rapid.T) {
 				index := rapid.Uint64Range(test.node.log.offset, test.node.log.lastIndex()).Draw(t, "index")
-				test.node.Step(test.now, Message{Kind: MessageAppendReply, From: ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")), To: 1,
-					Term: test.node.term, Index: index, Round: test.node.leaderState.round})
+				test.node.Step(test.now, Message{
+					Kind:  MessageAppendReply,
+					From:  ReplicaID(rapid.IntRange(2, 4).Draw(t, "from")),
+					To:    1,
+					Term:  test.node.term,
+					Index: index,
+					Round: test.node.leaderState.round,
+				})
 			},
 			"propose": func(t *rapid.T) { test.node.Propose(test.now, drawData(t, "data")) },
 			"read": func(t *rapid.T) {
--- a/internal/system/consensus/bench_test.go
+++ b/internal/system/consensus/bench_test.go
@@ -17,8 +17,15 @@
 	b.Helper()
 	cluster := &testCluster{}
 	for id := ReplicaID(1); id <= 3; id++ {
-		cluster.nodes[id] = New(0, Config{ID: id, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1,
-			MaxAppendBytes: 1 << 16, MaxInflightAppends: 16, SnapshotThreshold: 4096}, foundingState(1, 2, 3))
+		cluster.nodes[id] = New(0, Config{
+			ID:                 id,
+			HeartbeatInterval:  testHeartbeat,
+			ElectionTimeout:    testElection,
+			Seed:               1,
+			MaxAppendBytes:     1 << 16,
+			MaxInflightAppends: 16,
+			SnapshotThreshold:  4096,
+		}, foundingState(1, 2, 3))
 	}
 	for cluster.leader == nil {
 		cluster.advance(10 * time.Millisecond)
@@ -102,8 +109,17 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	msg := Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 4000, LogTerm: 2, Commit: 4000, Round: 1 << 40,
-		Entries: entries(4001, 3, 3)}
+	msg := Message{
+		Kind:    MessageAppend,
+		From:    1,
+		To:      2,
+		Term:    3,
+		Index:   4000,
+		LogTerm: 2,
+		Commit:  4000,
+		Round:   1 << 40,
+		Entries: entries(4001, 3, 3),
+	}
 	var space []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -55,7 +55,8 @@
 func (n *Node) becomeFollower(term uint64, leader ReplicaID) {
 	n.caughtUpAt = n.lastCaughtUp()
 	if term > n.term {
-		n.term, n.vote = term, 0
+		n.term = term
+		n.vote = 0
 	}
 	n.role = Follower
 	n.leaderID = leader
@@ -134,7 +135,8 @@
 	}
 	reply := Message{Kind: MessagePreVoteReply, To: msg.From, Term: msg.Term}
 	if msg.Term <= n.term || n.inLease() || !n.log.isUpToDate(msg.Index, msg.LogTerm) {
-		reply.Term, reply.Reject = n.term, true
+		reply.Term = n.term
+		reply.Reject = true
 	}
 	if reply.Term > 0 {
 		n.send(reply)
--- a/internal/system/consensus/encoding_test.go
+++ b/internal/system/consensus/encoding_test.go
@@ -25,29 +25,49 @@
 
 func drawMembership(t *rapid.T) (membership Membership) {
 	for range rapid.IntRange(0, 5).Draw(t, "members") {
-		membership.Members = append(membership.Members, Member{ID: ReplicaID(drawUint(t, "id")),
-			Node: rapid.StringN(0, 20, -1).Draw(t, "node"), Zone: rapid.StringN(0, 20, -1).Draw(t, "zone"),
-			Address: rapid.StringN(0, 200, -1).Draw(t, "address"), Voter: rapid.Bool().Draw(t, "voter")})
+		membership.Members = append(membership.Members, Member{
+			ID:      ReplicaID(drawUint(t, "id")),
+			Node:    rapid.StringN(0, 20, -1).Draw(t, "node"),
+			Zone:    rapid.StringN(0, 20, -1).Draw(t, "zone"),
+			Address: rapid.StringN(0, 200, -1).Draw(t, "address"),
+			Voter:   rapid.Bool().Draw(t, "voter"),
+		})
 	}
 	return membership
 }
 
 func drawEntry(t *rapid.T) Entry {
-	return Entry{Index: drawUint(t, "index"), Term: drawUint(t, "term"),
-		Kind: EntryKind(rapid.IntRange(0, int(EntryMembership)).Draw(t, "kind")), Data: drawData(t, "data")}
+	return Entry{
+		Index: drawUint(t, "index"),
+		Term:  drawUint(t, "term"),
+		Kind:  EntryKind(rapid.IntRange(0, int(EntryMembership)).Draw(t, "kind")),
+		Data:  drawData(t, "data"),
+	}
 }
 
 func drawSnapshot(t *rapid.T) Snapshot {
-	return Snapshot{Index: drawUint(t, "index"), Term: drawUint(t, "term"), Membership: drawMembership(t),
-		Data: drawData(t, "data")}
+	return Snapshot{
+		Index:      drawUint(t, "index"),
+		Term:       drawUint(t, "term"),
+		Membership: drawMembership(t),
+		Data:       drawData(t, "data"),
+	}
 }
 
 func drawMessage(t *rapid.T) Message {
-	message := Message{Kind: MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)).Draw(t, "kind")),
-		From: ReplicaID(drawUint(t, "from")), To: ReplicaID(drawUint(t, "to")), Term: drawUint(t, "term"),
-		Index: drawUint(t, "index"), LogTerm: drawUint(t, "log term"), Commit: drawUint(t, "commit"),
-		RejectHint: drawUint(t, "hint"), Round: drawUint(t, "round"), Reject: rapid.Bool().Draw(t, "reject"),
-		Force: rapid.Bool().Draw(t, "force")}
+	message := Message{
+		Kind:       MessageKind(rapid.IntRange(0, int(MessageTimeoutNow)).Draw(t, "kind")),
+		From:       ReplicaID(drawUint(t, "from")),
+		To:         ReplicaID(drawUint(t, "to")),
+		Term:       drawUint(t, "term"),
+		Index:      drawUint(t, "index"),
+		LogTerm:    drawUint(t, "log term"),
+		Commit:     drawUint(t, "commit"),
+		RejectHint: drawUint(t, "hint"),
+		Round:      drawUint(t, "round"),
+		Reject:     rapid.Bool().Draw(t, "reject"),
+		Force:      rapid.Bool().Draw(t, "force"),
+	}
 	for range rapid.IntRange(0, 5).Draw(t, "entries") {
 		message.Entries = append(message.Entries, drawEntry(t))
 	}
@@ -78,8 +98,11 @@
 		newEncodingCase("snapshot", drawSnapshot, EncodeSnapshot, DecodeSnapshot),
 		newEncodingCase("message", drawMessage, EncodeMessage, DecodeMessage),
 		newEncodingCase("hard state", func(t *rapid.T) HardState {
-			return HardState{Term: drawUint(t, "term"), Vote: ReplicaID(drawUint(t, "vote")),
-				Commit: drawUint(t, "commit")}
+			return HardState{
+				Term:   drawUint(t, "term"),
+				Vote:   ReplicaID(drawUint(t, "vote")),
+				Commit: drawUint(t, "commit"),
+			}
 		}, EncodeHardState, DecodeHardState),
 	}
 }
@@ -124,10 +147,23 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(EncodeMessage(Message{Kind: MessageAppend, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 1 << 40,
-		Entries: append(entries(5, 3), membershipEntry(6, 3, voters(1, 2)))}))
-	f.Add(EncodeMessage(Message{Kind: MessageInstallSnapshot, Reject: true, Force: true,
-		Snapshot: &Snapshot{Index: 1, Term: 1, Membership: voters(1, 2), Data: []byte("x")}}))
+	f.Add(EncodeMessage(Message{
+		Kind:    MessageAppend,
+		From:    1,
+		To:      2,
+		Term:    3,
+		Index:   4,
+		LogTerm: 2,
+		Commit:  4,
+		Round:   1 << 40,
+		Entries: append(entries(5, 3), membershipEntry(6, 3, voters(1, 2))),
+	}))
+	f.Add(EncodeMessage(Message{
+		Kind:     MessageInstallSnapshot,
+		Reject:   true,
+		Force:    true,
+		Snapshot: &Snapshot{Index: 1, Term: 1, Membership: voters(1, 2), Data: []byte("x")},
+	}))
 	f.Add(EncodeMembership(withMembers(voters(1), Member{ID: 9, Node: "n", Zone: "z", Address: "a:1"})))
 	f.Add(EncodeHardState(HardState{Term: 5, Vote: 6, Commit: 7}))
 	f.Add(EncodeEntry(Entry{Index: math.MaxUint64, Term: 1, Data: []byte("x")}))
--- a/internal/system/consensus/follower.go
+++ b/internal/system/consensus/follower.go
@@ -40,7 +40,8 @@
 
 // handleAppend appends a leader's entries if they follow an entry that both logs hold.
 func (n *Node) handleAppend(msg Message) {
-	index, entries := msg.Index, msg.Entries
+	index := msg.Index
+	entries := msg.Entries
 	if index < n.log.commit {
 		// Committed entries are the same in all logs.
 		skip := min(uint64(len(entries)), n.log.commit-index)
@@ -75,8 +76,15 @@
 // suffice.
 func (n *Node) sendAppendRejection(msg Message) {
 	hint, term := n.log.findConflictByTerm(msg.Index, msg.LogTerm)
-	n.send(Message{Kind: MessageAppendReply, To: msg.From, Index: msg.Index, LogTerm: term, Reject: true, RejectHint: hint,
-		Round: msg.Round})
+	n.send(Message{
+		Kind:       MessageAppendReply,
+		To:         msg.From,
+		Index:      msg.Index,
+		LogTerm:    term,
+		Reject:     true,
+		RejectHint: hint,
+		Round:      msg.Round,
+	})
 }
 
 // handleInstallSnapshot replaces the log and the state machine, unless the log already holds all that the snapshot
--- a/internal/system/consensus/membership_change.go
+++ b/internal/system/consensus/membership_change.go
@@ -74,8 +74,14 @@
 		}
 		peer := n.progressOf(member.ID)
 		if peer == nil {
-			peer = &progress{id: member.ID, next: n.log.lastIndex() + 1, lastContact: n.now,
-				catchUpTarget: n.log.lastIndex(), catchUpStartedAt: n.now, catchUpDuration: Never}
+			peer = &progress{
+				id:               member.ID,
+				next:             n.log.lastIndex() + 1,
+				lastContact:      n.now,
+				catchUpTarget:    n.log.lastIndex(),
+				catchUpStartedAt: n.now,
+				catchUpDuration:  Never,
+			}
 		}
 		peers = append(peers, peer)
 	}
@@ -118,6 +124,12 @@
 	if !known {
 		return
 	}
-	n.sendEarly(Message{Kind: MessageAppend, To: peer.id, Index: peer.next - 1, LogTerm: term, Commit: n.log.commit,
-		Entries: n.log.slice(peer.next, n.config.MaxAppendBytes)})
+	n.sendEarly(Message{
+		Kind:    MessageAppend,
+		To:      peer.id,
+		Index:   peer.next - 1,
+		LogTerm: term,
+		Commit:  n.log.commit,
+		Entries: n.log.slice(peer.next, n.config.MaxAppendBytes),
+	})
 }
--- a/internal/system/consensus/membership_change_test.go
+++ b/internal/system/consensus/membership_change_test.go
@@ -145,22 +145,40 @@
 func TestNewReplicaIsSilentUntilItIsMember(t *testing.T) {
 	script := newScriptedNode(t, PersistentState{})
 	script.expect("due", script.node.NextTick(), Never)
-	for _, msg := range []Message{{Kind: MessagePreVote, Term: 5}, {Kind: MessageVote, Term: 5}, {Kind: MessageVote, Term: 5, Force: true},
-		{Kind: MessageTimeoutNow, Term: 5}, {Kind: MessageVoteReply, Term: 5}, {Kind: MessageAppendReply, Term: 5}} {
+	for _, msg := range []Message{
+		{Kind: MessagePreVote, Term: 5},
+		{Kind: MessageVote, Term: 5},
+		{Kind: MessageVote, Term: 5, Force: true},
+		{Kind: MessageTimeoutNow, Term: 5},
+		{Kind: MessageVoteReply, Term: 5},
+		{Kind: MessageAppendReply, Term: 5},
+	} {
 		msg.From = 2
 		script.expect("replies", len(script.step(msg)), 0)
 	}
 	script.expect("term", script.node.term, 0)
-	taken := Message{Kind: MessageAppend, From: 2, Term: 1, Round: 1,
-		Entries: append(entries(1, 1), membershipEntry(2, 1, withMembers(voters(2), Member{ID: 1})))}
+	taken := Message{
+		Kind:    MessageAppend,
+		From:    2,
+		Term:    1,
+		Round:   1,
+		Entries: append(entries(1, 1), membershipEntry(2, 1, withMembers(voters(2), Member{ID: 1}))),
+	}
 	script.onlyMessage(MessageAppendReply, 2, script.step(taken))
 	script.expect("due as a learner", script.node.NextTick(), Never)
 	script.now += 2 * testElection
 	vote := Message{Kind: MessageVote, From: 3, Term: 2, Index: 9, LogTerm: 1}
 	reply := script.onlyMessage(MessageVoteReply, 3, script.step(vote))
 	script.expect("vote of a learner for a candidate that considers it a voter", reply.Reject, false)
-	script.step(Message{Kind: MessageAppend, From: 3, Term: 2, Index: 2, LogTerm: 1, Round: 1,
-		Entries: []Entry{membershipEntry(3, 2, voters(1, 2))}})
+	script.step(Message{
+		Kind:    MessageAppend,
+		From:    3,
+		Term:    2,
+		Index:   2,
+		LogTerm: 1,
+		Round:   1,
+		Entries: []Entry{membershipEntry(3, 2, voters(1, 2))},
+	})
 	script.expect("due as a voter", script.node.NextTick() < Never, true)
 }
 
--- a/internal/system/consensus/node.go
+++ b/internal/system/consensus/node.go
@@ -66,9 +66,11 @@
 		state = PersistentState{}
 	}
 	n.log = newLog(state)
-	n.term, n.vote = state.HardState.Term, state.HardState.Vote
+	n.term = state.HardState.Term
+	n.vote = state.HardState.Vote
 	if lastTerm := n.log.lastTerm(); lastTerm > n.term {
-		n.term, n.vote = lastTerm, 0
+		n.term = lastTerm
+		n.vote = 0
 	}
 	n.persistedTerm = state.HardState.Term
 	n.lastHardState = state.HardState
@@ -187,6 +189,7 @@
 
 // sendEarly queues a message of a leader, which need not wait for pending writes: the leader's term is on disk.
 func (n *Node) sendEarly(msg Message) {
-	msg.From, msg.Term = n.config.ID, n.term
+	msg.From = n.config.ID
+	msg.Term = n.term
 	n.earlyMessages = append(n.earlyMessages, msg)
 }
--- a/internal/system/consensus/node_test.go
+++ b/internal/system/consensus/node_test.go
@@ -6,8 +6,15 @@
 	for name, stored := range map[string]PersistentState{
 		"terms that fall": {Snapshot: foundingState(1).Snapshot, Entries: entries(1, 2, 1)},
 		"gap":             {Snapshot: foundingState(1).Snapshot, Entries: append(entries(1, 1), entries(3, 1)...)},
-		"membership": {Snapshot: foundingState(1).Snapshot, Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembership,
-			Data: []byte("?")}}},
+		"membership": {
+			Snapshot: foundingState(1).Snapshot,
+			Entries: []Entry{{
+				Index: 1,
+				Term:  1,
+				Kind:  EntryMembership,
+				Data:  []byte("?"),
+			}},
+		},
 		"founders": foundingState(1, 1),
 	} {
 		if stored.Validate() == nil {
--- a/internal/system/consensus/raft_log.go
+++ b/internal/system/consensus/raft_log.go
@@ -157,9 +157,13 @@
 // restore replaces everything by a snapshot.
 func (l *raftLog) restore(snapshot Snapshot) {
 	l.snapshot = snapshot
-	l.offset, l.offsetTerm = snapshot.Index, snapshot.Term
+	l.offset = snapshot.Index
+	l.offsetTerm = snapshot.Term
 	l.entries = nil
-	l.commit, l.applied, l.writeIndex, l.durable = snapshot.Index, snapshot.Index, snapshot.Index, snapshot.Index
+	l.commit = snapshot.Index
+	l.applied = snapshot.Index
+	l.writeIndex = snapshot.Index
+	l.durable = snapshot.Index
 	for i := range l.pendingWrites {
 		l.pendingWrites[i].lastIndex = 0
 	}
@@ -178,12 +182,14 @@
 	}
 	term, _ := l.term(start)
 	l.entries = slices.Clone(l.entries[start-l.offset:])
-	l.offset, l.offsetTerm = start, term
+	l.offset = start
+	l.offsetTerm = term
 }
 
 // tailStart returns the index before the tail that ends at an index.
 func (l *raftLog) tailStart(end, tail uint64, tailBytes int) uint64 {
-	start, size := end, 0
+	start := end
+	size := 0
 	for start > l.offset && end-start < tail {
 		size += len(l.entries[start-l.offset-1].Data)
 		if tailBytes > 0 && size > tailBytes {
--- a/internal/system/consensus/replication.go
+++ b/internal/system/consensus/replication.go
@@ -95,8 +95,15 @@
 // sendAppend sends an append. A reply is demanded unless round is 0.
 func (n *Node) sendAppend(peer *progress, index uint64, entries []Entry, round uint64) {
 	term, _ := n.log.term(index) // 0 at index 0
-	n.sendEarly(Message{Kind: MessageAppend, To: peer.id, Index: index, LogTerm: term, Commit: n.log.commit, Entries: entries,
-		Round: round})
+	n.sendEarly(Message{
+		Kind:    MessageAppend,
+		To:      peer.id,
+		Index:   index,
+		LogTerm: term,
+		Commit:  n.log.commit,
+		Entries: entries,
+		Round:   round,
+	})
 	peer.sentCommit = max(peer.sentCommit, min(n.log.commit, index+uint64(len(entries))))
 	if round > 0 {
 		peer.lastSentAt = n.now
@@ -106,6 +113,11 @@
 func (n *Node) sendSnapshot(peer *progress) {
 	snapshot := n.log.snapshot
 	peer.becomeSnapshot(n.now)
-	n.sendEarly(Message{Kind: MessageInstallSnapshot, To: peer.id, Snapshot: &snapshot, Commit: n.log.commit,
-		Round: n.leaderState.round})
+	n.sendEarly(Message{
+		Kind:     MessageInstallSnapshot,
+		To:       peer.id,
+		Snapshot: &snapshot,
+		Commit:   n.log.commit,
+		Round:    n.leaderState.round,
+	})
 }
--- a/internal/system/consensus/scripted_node_test.go
+++ b/internal/system/consensus/scripted_node_test.go
@@ -54,8 +54,15 @@
 func newScriptedNode(t *testing.T, s PersistentState) *scriptedNode {
 	t.Helper()
 	script := &scriptedNode{t: t, hardState: s.HardState, log: s.Entries}
-	script.node = New(0, Config{ID: 1, HeartbeatInterval: testHeartbeat, ElectionTimeout: testElection, Seed: 1, MaxAppendBytes: 64,
-		MaxInflightAppends: 2, SnapshotThreshold: 8}, s)
+	script.node = New(0, Config{
+		ID:                 1,
+		HeartbeatInterval:  testHeartbeat,
+		ElectionTimeout:    testElection,
+		Seed:               1,
+		MaxAppendBytes:     64,
+		MaxInflightAppends: 2,
+		SnapshotThreshold:  8,
+	}, s)
 	script.now = testElection
 	return script
 }
@@ -137,8 +144,13 @@
 
 // acknowledge returns the reply to an append by a replica that accepted all of it.
 func acknowledge(msg Message) Message {
-	return Message{Kind: MessageAppendReply, From: msg.To, Term: msg.Term, Index: msg.Index + uint64(len(msg.Entries)),
-		Round: msg.Round}
+	return Message{
+		Kind:  MessageAppendReply,
+		From:  msg.To,
+		Term:  msg.Term,
+		Index: msg.Index + uint64(len(msg.Entries)),
+		Round: msg.Round,
+	}
 }
 
 func (s *scriptedNode) onlyMessage(kind MessageKind, to ReplicaID, msgs []Message) Message {
@@ -206,6 +218,11 @@
 
 // jointTestMembership returns a joint membership: 1, 2 and 3 are the outgoing voters, 1, 4 and 5 the incoming ones.
 func jointTestMembership() Membership {
-	return Membership{Members: []Member{{ID: 1, Voter: true, Outgoing: true}, {ID: 2, Outgoing: true}, {ID: 3, Outgoing: true},
-		{ID: 4, Voter: true}, {ID: 5, Voter: true}}}
+	return Membership{Members: []Member{
+		{ID: 1, Voter: true, Outgoing: true},
+		{ID: 2, Outgoing: true},
+		{ID: 3, Outgoing: true},
+		{ID: 4, Voter: true},
+		{ID: 5, Voter: true},
+	}}
 }
--- a/internal/system/consensus/simulation_test.go
+++ b/internal/system/consensus/simulation_test.go
@@ -86,8 +86,13 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 7)), cutLinks: map[[2]int]bool{},
-		lastDelivery: map[[2]ReplicaID]time.Duration{}, faults: true}
+	sim := &simulation{
+		seed:         seed,
+		random:       rand.New(rand.NewPCG(seed, 7)),
+		cutLinks:     map[[2]int]bool{},
+		lastDelivery: map[[2]ReplicaID]time.Duration{},
+		faults:       true,
+	}
 	sim.profile = sim.drawProfile()
 	sim.observed = newObservations()
 	return sim
@@ -149,8 +154,13 @@
 	var founders Membership
 	for i := range sim.profile.Replicas {
 		sim.lastID++
-		host := &simulatedHost{index: i, id: sim.lastID, disk: &simulatedDisk{}, clockOffset: sim.randomDuration(0, time.Hour),
-			clockRate: 0.98 + 0.04*sim.random.Float64()}
+		host := &simulatedHost{
+			index:       i,
+			id:          sim.lastID,
+			disk:        &simulatedDisk{},
+			clockOffset: sim.randomDuration(0, time.Hour),
+			clockRate:   0.98 + 0.04*sim.random.Float64(),
+		}
 		sim.hosts = append(sim.hosts, host)
 		founders.Members = append(founders.Members, Member{ID: host.id, Node: fmt.Sprint(i), Voter: true})
 	}
--- a/internal/system/consensus/status.go
+++ b/internal/system/consensus/status.go
@@ -44,10 +44,19 @@
 
 // Status returns the present state. It allocates; Role, Leader, CommitIndex, Transferring and Membership do not.
 func (n *Node) Status() Status {
-	status := Status{ID: n.config.ID, Role: n.role, Term: n.term, Leader: n.leaderID, Commit: n.log.commit,
-		Applied: n.log.applied, LastIndex: n.log.lastIndex(), Membership: n.membership(),
-		MembershipIndex: n.log.lastMembership().index, LastLeaderContact: n.lastLeaderContact,
-		CaughtUpAt: n.lastCaughtUp()}
+	status := Status{
+		ID:                n.config.ID,
+		Role:              n.role,
+		Term:              n.term,
+		Leader:            n.leaderID,
+		Commit:            n.log.commit,
+		Applied:           n.log.applied,
+		LastIndex:         n.log.lastIndex(),
+		Membership:        n.membership(),
+		MembershipIndex:   n.log.lastMembership().index,
+		LastLeaderContact: n.lastLeaderContact,
+		CaughtUpAt:        n.lastCaughtUp(),
+	}
 	if n.role != Leader {
 		return status
 	}
--- a/internal/system/control/api/api.go
+++ b/internal/system/control/api/api.go
@@ -76,8 +76,12 @@
 	documents := &documentCache{}
 	a := &API{
 		options: options,
-		committer: committer{replicas: options.Replicas, state: options.State, prepare: documents.prepareChange,
-			sleep: retry.Sleep},
+		committer: committer{
+			replicas: options.Replicas,
+			state:    options.State,
+			prepare:  documents.prepareChange,
+			sleep:    retry.Sleep,
+		},
 		documents:   documents,
 		callSlots:   make(chan struct{}, maxCalls),
 		changeSlots: make(chan struct{}, maxConcurrentChanges),
--- a/internal/system/control/api/commit.go
+++ b/internal/system/control/api/commit.go
@@ -60,8 +60,12 @@
 	if err != nil {
 		return 0, asAPIError(err)
 	}
-	command := state.CommitConfiguration{BaseVersion: request.basedOn, Version: change.version, Digest: digest,
-		Writes: change.writes}
+	command := state.CommitConfiguration{
+		BaseVersion: request.basedOn,
+		Version:     change.version,
+		Digest:      digest,
+		Writes:      change.writes,
+	}
 	result, err := propose(ctx, c.replicas, command.Encode())
 	if err != nil {
 		return 0, err
--- a/internal/system/control/api/configuration.go
+++ b/internal/system/control/api/configuration.go
@@ -64,11 +64,17 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &apiError{status: http.StatusRequestEntityTooLarge, code: codeTooLarge,
-			message: "the body is longer than " + strconv.Itoa(MaxBodyBytes) + " bytes"}
+		return nil, &apiError{
+			status:  http.StatusRequestEntityTooLarge,
+			code:    codeTooLarge,
+			message: "the body is longer than " + strconv.Itoa(MaxBodyBytes) + " bytes",
+		}
 	case err != nil:
-		return nil, &apiError{status: http.StatusRequestTimeout, code: codeUnavailable,
-			message: "the body did not arrive whole: " + err.Error()}
+		return nil, &apiError{
+			status:  http.StatusRequestTimeout,
+			code:    codeUnavailable,
+			message: "the body did not arrive whole: " + err.Error(),
+		}
 	}
 	return body, nil
 }
--- a/internal/system/control/api/documentcache.go
+++ b/internal/system/control/api/documentcache.go
@@ -30,7 +30,8 @@
 // *validation.Error or an *apiError, or says why the body can't be parsed. The mutex is held while it parses, so that a
 // repeated request waits for the result of the first.
 func (c *documentCache) prepareChange(request *changeRequest, base *state.View) (preparedChange, error) {
-	digest, large := request.digest(), len(request.body) >= largeBodyBytes
+	digest := request.digest()
+	large := len(request.body) >= largeBodyBytes
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if large && c.preparedChange != nil && c.digest == digest && c.baseVersion == base.Version {
@@ -47,7 +48,9 @@
 	prepared := preparedChange{version: next.Version(), writes: commitWrites(configuration.Diff(current, next))}
 	c.preparedChange = nil
 	if large {
-		c.digest, c.baseVersion, c.preparedChange = digest, base.Version, &prepared
+		c.digest = digest
+		c.baseVersion = base.Version
+		c.preparedChange = &prepared
 	}
 	return prepared, nil
 }
--- a/internal/system/control/api/interleavings_test.go
+++ b/internal/system/control/api/interleavings_test.go
@@ -102,11 +102,15 @@
 func (e *exploration) deliver(node *simulatedNode, cancelled bool, request *modelRequest, onResponse func(modelResponse)) {
 	retries := *retriesFlag
 	node.runHandler(cancelled, func(t *handlerTask) {
-		committer := &committer{replicas: &exploredReplicas{exploration: e, task: t}, state: &simulatedState{task: t},
-			prepare: prepareModelChange, sleep: func(context.Context, time.Duration) bool {
+		committer := &committer{
+			replicas: &exploredReplicas{exploration: e, task: t},
+			state:    &simulatedState{task: t},
+			prepare:  prepareModelChange,
+			sleep: func(context.Context, time.Duration) bool {
 				retries--
 				return retries >= 0 && !t.ended
-			}}
+			},
+		}
 		ctx := taskContext{context.Background(), t}
 		var response modelResponse
 		if request.zone != "" {
--- a/internal/system/control/api/response.go
+++ b/internal/system/control/api/response.go
@@ -39,8 +39,11 @@
 }
 
 func versionConflict(current uint64) *apiError {
-	return &apiError{status: http.StatusPreconditionFailed, code: codeConflict,
-		message: "another version is in force: " + strconv.FormatUint(current, 10)}
+	return &apiError{
+		status:  http.StatusPreconditionFailed,
+		code:    codeConflict,
+		message: "another version is in force: " + strconv.FormatUint(current, 10),
+	}
 }
 
 func unavailableError(message string) *apiError {
--- a/internal/system/control/api/simulation_checker_test.go
+++ b/internal/system/control/api/simulation_checker_test.go
@@ -45,8 +45,12 @@
 }
 
 func newChecker(sim *simulation) *checker {
-	return &checker{sim: sim, state: state.NewConfiguration(func() time.Duration { return sim.now }, func() {}),
-		evacuated: map[string]bool{}, acknowledgedEvacuations: map[string]*modelRequest{}}
+	return &checker{
+		sim:                     sim,
+		state:                   state.NewConfiguration(func() time.Duration { return sim.now }, func() {}),
+		evacuated:               map[string]bool{},
+		acknowledgedEvacuations: map[string]*modelRequest{},
+	}
 }
 
 func (c *checker) newRequest() *modelRequest {
--- a/internal/system/control/api/simulation_test.go
+++ b/internal/system/control/api/simulation_test.go
@@ -194,9 +194,16 @@
 func (totals *simulationTotals) checkCoverage(t *testing.T) {
 	t.Helper()
 	c := totals.counts
-	for name, count := range map[string]int{"accepted": c.accepted, "acknowledged": c.acknowledged,
-		"conflicts": c.conflicts, "invalid": c.invalid, "indefinite": c.indefinite, "reacknowledged": c.reacknowledged,
-		"evacuations": c.evacuations, "superseded": c.superseded} {
+	for name, count := range map[string]int{
+		"accepted":       c.accepted,
+		"acknowledged":   c.acknowledged,
+		"conflicts":      c.conflicts,
+		"invalid":        c.invalid,
+		"indefinite":     c.indefinite,
+		"reacknowledged": c.reacknowledged,
+		"evacuations":    c.evacuations,
+		"superseded":     c.superseded,
+	} {
 		if count == 0 {
 			t.Errorf("%s never happened: %+v", name, c)
 		}
--- a/internal/system/control/client/client.go
+++ b/internal/system/control/client/client.go
@@ -79,7 +79,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	backoff, rejections := initialBackoff, 0
+	backoff := initialBackoff
+	rejections := 0
 	for attempts := 1; ; attempts++ {
 		response, err := c.attempt(ctx, &call)
 		if err == nil {
--- a/internal/system/control/client/client_test.go
+++ b/internal/system/control/client/client_test.go
@@ -56,8 +56,11 @@
 
 // newClient returns a client that records its pauses instead of sleeping.
 func newClient(pauses *[]time.Duration, addresses ...string) *Client {
-	return &Client{Addresses: addresses, Timeout: time.Minute,
-		Sleep: func(_ context.Context, d time.Duration) { *pauses = append(*pauses, d) }}
+	return &Client{
+		Addresses: addresses,
+		Timeout:   time.Minute,
+		Sleep:     func(_ context.Context, d time.Duration) { *pauses = append(*pauses, d) },
+	}
 }
 
 func TestNextMachineIsTriedAfterFailure(t *testing.T) {
@@ -108,8 +111,10 @@
 func TestRejectionsEndTheCall(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 412, 413, 422} {
 		var pauses []time.Duration
-		m := &scriptedMachine{script: []scriptedResponse{{status: status,
-			body: `{"error":{"code":"c","message":"m","findings":[{"place":"routes[0]","problem":"p"}]}}`}}}
+		m := &scriptedMachine{script: []scriptedResponse{{
+			status: status,
+			body:   `{"error":{"code":"c","message":"m","findings":[{"place":"routes[0]","problem":"p"}]}}`,
+		}}}
 		_, err := newClient(&pauses, serve(t, m)).Replace(t.Context(), 0, nil)
 		var rejected *RejectedError
 		if !errors.As(err, &rejected) || len(m.calls) != 1 {
@@ -135,11 +140,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	m := &scriptedMachine{script: []scriptedResponse{{status: 503}}}
 	attempts := 0
-	client := &Client{Addresses: []string{serve(t, m), closedAddress(t)}, Sleep: func(context.Context, time.Duration) {
-		if attempts++; attempts == 6 {
-			cancel()
-		}
-	}}
+	client := &Client{
+		Addresses: []string{serve(t, m), closedAddress(t)},
+		Sleep: func(context.Context, time.Duration) {
+			if attempts++; attempts == 6 {
+				cancel()
+			}
+		},
+	}
 	_, err := client.Read(ctx)
 	var unavailable *UnavailableError
 	if !errors.As(err, &unavailable) || unavailable.Attempts != 6 || len(m.calls) != 3 {
--- a/internal/system/control/directory/choose_test.go
+++ b/internal/system/control/directory/choose_test.go
@@ -118,9 +118,14 @@
 		var edges []Edge
 		for i := range rapid.IntRange(0, 80).Draw(t, "edges") {
 			zone := rapid.SampledFrom(zones).Draw(t, "zone")
-			edges = append(edges, Edge{Address: edgeAddress(i + 1), Zone: zone, Region: regions[zone],
-				Health: Health(rapid.IntRange(0, 2).Draw(t, "health")), Ready: rapid.Bool().Draw(t, "ready"),
-				Stopping: rapid.Bool().Draw(t, "stopping")})
+			edges = append(edges, Edge{
+				Address:  edgeAddress(i + 1),
+				Zone:     zone,
+				Region:   regions[zone],
+				Health:   Health(rapid.IntRange(0, 2).Draw(t, "health")),
+				Ready:    rapid.Bool().Draw(t, "ready"),
+				Stopping: rapid.Bool().Draw(t, "stopping"),
+			})
 		}
 		got := Choose(edges, "east", rapid.SampledFrom(zones).Draw(t, "from"), rand.New(rand.NewPCG(1, 1))).Addresses
 		if (len(got) == 0) != (len(edges) == 0) || len(got) > MaxAddresses {
--- a/internal/system/control/feedserver/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -70,7 +70,8 @@
 
 // Followers returns the followers that have not expired, ordered by node.
 func (s *Server) Followers() []Follower {
-	r, now := &s.registry, s.options.Now()
+	r := &s.registry
+	now := s.options.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.expire(now)
--- a/internal/system/control/leaderless_test.go
+++ b/internal/system/control/leaderless_test.go
@@ -31,8 +31,14 @@
 func (f *fakeLeader) claimLeadership(t *testing.T, c *testCluster, client *rpc.Client) {
 	t.Helper()
 	f.term += 1000
-	message := consensus.EncodeMessage(consensus.Message{Kind: consensus.MessageAppend, From: 1, Term: f.term, Commit: math.MaxUint32,
-		To: c.processes[0].host.Status()[f.partition].Status.ID, Round: 1})
+	message := consensus.EncodeMessage(consensus.Message{
+		Kind:   consensus.MessageAppend,
+		From:   1,
+		Term:   f.term,
+		Commit: math.MaxUint32,
+		To:     c.processes[0].host.Status()[f.partition].Status.ID,
+		Round:  1,
+	})
 	batch := binary.AppendUvarint(nil, uint64(f.partition))
 	batch = binary.AppendUvarint(batch, uint64(len(message)))
 	request := replica.DeliverRequest{Messages: append(batch, message...)}
--- a/internal/system/control/listeners.go
+++ b/internal/system/control/listeners.go
@@ -60,7 +60,8 @@
 
 func (p *Process) startGossip(ctx context.Context, options Options) (*gossip.Memberlist, error) {
 	memberOptions := gossip.FromSettings(options.Settings, gossip.Control)
-	memberOptions.Version, memberOptions.Log = options.Version, options.Log
+	memberOptions.Version = options.Version
+	memberOptions.Log = options.Log
 	var member *gossip.Memberlist
 	err := retry.WhileAddressInUse(ctx, func() (err error) {
 		member, err = gossip.Start(memberOptions)
@@ -93,8 +94,13 @@
 }
 
 func (p *Process) operatorAPI() http.Handler {
-	return api.New(api.Options{Replicas: p.host, State: p.configuration, ZoneExists: p.zoneExists, Status: p.encodeStatus,
-		Log: p.log})
+	return api.New(api.Options{
+		Replicas:   p.host,
+		State:      p.configuration,
+		ZoneExists: p.zoneExists,
+		Status:     p.encodeStatus,
+		Log:        p.log,
+	})
 }
 
 // newDirectoryMux routes only the directory's path: its address is open to clients.
@@ -129,8 +135,14 @@
 }
 
 func newServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
-		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
 }
 
 // listen opens an address. It retries for a while if an earlier process still has it.
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -145,8 +145,15 @@
 			p.log.Warn("entries of the list of runners make no sense", zap.Error(err))
 		},
 	})
-	p.runnerSync = runnersync.New(runnersync.Options{Lister: client, Replicas: p.host, Partitions: partitions,
-		CallsPerSecond: settings.CloudAPI.CallsPerSecond, DrainWithin: settings.Timing.DrainWithin, Now: p.now, Log: p.log})
+	p.runnerSync = runnersync.New(runnersync.Options{
+		Lister:         client,
+		Replicas:       p.host,
+		Partitions:     partitions,
+		CallsPerSecond: settings.CloudAPI.CallsPerSecond,
+		DrainWithin:    settings.Timing.DrainWithin,
+		Now:            p.now,
+		Log:            p.log,
+	})
 }
 
 // watchMembers passes the addresses that membership knows to the replicas, until the context ends.
--- a/internal/system/control/process_test.go
+++ b/internal/system/control/process_test.go
@@ -72,9 +72,15 @@
 func TestSingleMachine(t *testing.T) {
 	c := newTestCluster(t, 1)
 	c.mustAcknowledge(api.PathReplace, "0", documentJSON(1, 1000))
-	edge, err := gossip.Start(gossip.Options{Node: "edge-1", Role: gossip.Edge, Zone: "a", Front: "10.0.0.7:80",
-		Zones: c.settings[0].Zones, Listen: netip.AddrPortFrom(address(7), 0),
-		Seeds: gossip.SeedAddresses(c.settings[0])})
+	edge, err := gossip.Start(gossip.Options{
+		Node:   "edge-1",
+		Role:   gossip.Edge,
+		Zone:   "a",
+		Front:  "10.0.0.7:80",
+		Zones:  c.settings[0].Zones,
+		Listen: netip.AddrPortFrom(address(7), 0),
+		Seeds:  gossip.SeedAddresses(c.settings[0]),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/control/runnersync/fake_test.go
+++ b/internal/system/control/runnersync/fake_test.go
@@ -145,9 +145,13 @@
 
 func newRunner(n int) discovery.Runner {
 	return discovery.Runner{
-		ID: fmt.Sprint("i-", n), Service: fmt.Sprint("service-", n%5), Zone: "a", Capacity: 4, Phase: "both",
-		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 80),
-		Models:  []discovery.Model{{Name: "m", Version: 1}},
+		ID:       fmt.Sprint("i-", n),
+		Service:  fmt.Sprint("service-", n%5),
+		Zone:     "a",
+		Capacity: 4,
+		Phase:    "both",
+		Address:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 80),
+		Models:   []discovery.Model{{Name: "m", Version: 1}},
 	}
 }
 
--- a/internal/system/control/runnersync/ownership.go
+++ b/internal/system/control/runnersync/ownership.go
@@ -68,7 +68,8 @@
 	if s.owned.IsEmpty() {
 		s.progress.acquire()
 	}
-	s.owned, s.pollInterval = owned, minPollInterval
+	s.owned = owned
+	s.pollInterval = minPollInterval
 	clear(s.missingCounts)
 	for i := range s.stale {
 		s.stale[i] = true
--- a/internal/system/control/state/commands.go
+++ b/internal/system/control/state/commands.go
@@ -111,11 +111,18 @@
 func readCommand(reader *codec.Reader, kind commandKind) any {
 	switch kind {
 	case kindCommit:
-		return &CommitConfiguration{BaseVersion: reader.Uvarint("base version"), Version: reader.Uvarint("version"),
-			Digest: readDigest(reader), Writes: readWrites(reader)}
+		return &CommitConfiguration{
+			BaseVersion: reader.Uvarint("base version"),
+			Version:     reader.Uvarint("version"),
+			Digest:      readDigest(reader),
+			Writes:      readWrites(reader),
+		}
 	case kindEvacuation:
-		return &SetEvacuation{ExpectedRevision: reader.Uvarint("expected revision"),
-			Evacuated: reader.Bool("evacuated"), Zone: reader.String("zone")}
+		return &SetEvacuation{
+			ExpectedRevision: reader.Uvarint("expected revision"),
+			Evacuated:        reader.Bool("evacuated"),
+			Zone:             reader.String("zone"),
+		}
 	case kindRunners:
 		return &WriteRunners{ExpectedRevision: reader.Uvarint("expected revision"), Writes: readWrites(reader)}
 	}
--- a/internal/system/control/state/configuration.go
+++ b/internal/system/control/state/configuration.go
@@ -122,8 +122,10 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.version, c.evacuationRevision = version, revision
-	c.accepted, c.oldest = accepted, 0
+	c.version = version
+	c.evacuationRevision = revision
+	c.accepted = accepted
+	c.oldest = 0
 	clear(c.lastOrders)
 	c.restoredRevision = revision
 	c.replace(batch)
--- a/internal/system/control/state/encoding_test.go
+++ b/internal/system/control/state/encoding_test.go
@@ -50,8 +50,11 @@
 			!sameWrites(got.Writes, commit.Writes) {
 			t.Fatalf("%+v came back as %+v", commit, got)
 		}
-		evacuation := SetEvacuation{Zone: rapid.String().Draw(t, "zone"), Evacuated: rapid.Bool().Draw(t, "on"),
-			ExpectedRevision: rapid.Uint64().Draw(t, "seen")}
+		evacuation := SetEvacuation{
+			Zone:             rapid.String().Draw(t, "zone"),
+			Evacuated:        rapid.Bool().Draw(t, "on"),
+			ExpectedRevision: rapid.Uint64().Draw(t, "seen"),
+		}
 		if decoded, err = decodeCommand(evacuation.Encode()); err != nil || !reflect.DeepEqual(decoded, &evacuation) {
 			t.Fatalf("%+v came back as %+v, %v", evacuation, decoded, err)
 		}
--- a/internal/system/control/state/evacuation_test.go
+++ b/internal/system/control/state/evacuation_test.go
@@ -36,8 +36,11 @@
 	if zones := configuration.EvacuatedZones(); !reflect.DeepEqual(zones, []string{"b"}) {
 		t.Errorf("evacuated: %q", zones)
 	}
-	for zone, want := range map[string]Evacuation{"a": {Revision: 8, LastOrder: 8}, "b": {Evacuated: true, Revision: 8, LastOrder: 5},
-		"c": {Revision: 8}} {
+	for zone, want := range map[string]Evacuation{
+		"a": {Revision: 8, LastOrder: 8},
+		"b": {Evacuated: true, Revision: 8, LastOrder: 5},
+		"c": {Revision: 8},
+	} {
 		if got := configuration.Evacuation(zone); got != want {
 			t.Errorf("zone %s: %+v, want %+v", zone, got, want)
 		}
--- a/internal/system/control/state/history.go
+++ b/internal/system/control/state/history.go
@@ -117,8 +117,11 @@
 	}
 	changes := make([]AcceptedChange, 0, count)
 	for i := range count {
-		change := AcceptedChange{BaseVersion: reader.Uvarint("base version"), Version: reader.Uvarint("version"),
-			Digest: readDigest(reader)}
+		change := AcceptedChange{
+			BaseVersion: reader.Uvarint("base version"),
+			Version:     reader.Uvarint("version"),
+			Digest:      readDigest(reader),
+		}
 		if change.Version <= change.BaseVersion || i > 0 && change.BaseVersion != changes[i-1].Version {
 			reader.Fail("version")
 		}
--- a/internal/system/control/state/replication_test.go
+++ b/internal/system/control/state/replication_test.go
@@ -24,8 +24,14 @@
 
 // newReplicaPair returns two empty replicas.
 func newReplicaPair() *replicaPair {
-	return &replicaPair{first: newTestConfiguration(), second: newTestConfiguration(), acceptedOn: map[uint64]int{},
-		acceptedVersion: map[int]uint64{}, sent: map[int][]byte{}, evacuated: map[string]bool{}}
+	return &replicaPair{
+		first:           newTestConfiguration(),
+		second:          newTestConfiguration(),
+		acceptedOn:      map[uint64]int{},
+		acceptedVersion: map[int]uint64{},
+		sent:            map[int][]byte{},
+		evacuated:       map[string]bool{},
+	}
 }
 
 // apply applies a command at the current index to both replicas, which must return the same result.
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -88,8 +88,13 @@
 		description.LeaseMS = lease.Milliseconds()
 	}
 	for _, member := range group.Membership.Members {
-		description.Replicas = append(description.Replicas, status.Replica{Replica: replicaName(member.ID), Node: member.Node,
-			Zone: member.Zone, Address: member.Address, Voter: member.Voter})
+		description.Replicas = append(description.Replicas, status.Replica{
+			Replica: replicaName(member.ID),
+			Node:    member.Node,
+			Zone:    member.Zone,
+			Address: member.Address,
+			Voter:   member.Voter,
+		})
 	}
 	return description
 }
--- a/internal/system/discovery/list_test.go
+++ b/internal/system/discovery/list_test.go
@@ -21,13 +21,26 @@
 	}
 	want := []Runner{
 		{
-			ID: "i-1", Service: "engine", Address: netip.MustParseAddrPort("10.128.0.9:8080"), Zone: "north-a",
-			Capacity: 64, SlowStartRemaining: 1500500 * time.Microsecond, Phase: "both", Models: []Model{{Name: "m",
-				Version: 3}},
+			ID:                 "i-1",
+			Service:            "engine",
+			Address:            netip.MustParseAddrPort("10.128.0.9:8080"),
+			Zone:               "north-a",
+			Capacity:           64,
+			SlowStartRemaining: 1500500 * time.Microsecond,
+			Phase:              "both",
+			Models: []Model{{
+				Name:    "m",
+				Version: 3,
+			}},
 		},
 		{
-			ID: "i-2", Service: "engine", Address: netip.MustParseAddrPort("10.128.0.10:8080"), Zone: "north-a",
-			Capacity: 64, Draining: true, TimeToTermination: 2500 * time.Millisecond,
+			ID:                "i-2",
+			Service:           "engine",
+			Address:           netip.MustParseAddrPort("10.128.0.10:8080"),
+			Zone:              "north-a",
+			Capacity:          64,
+			Draining:          true,
+			TimeToTermination: 2500 * time.Millisecond,
 		},
 	}
 	if !reflect.DeepEqual(runners, want) || next != "p-50" {
--- a/internal/system/discovery/runner_codec_test.go
+++ b/internal/system/discovery/runner_codec_test.go
@@ -52,8 +52,11 @@
 func FuzzDecodeRunner(f *testing.F) {
 	f.Add(EncodeRunner(Runner{}))
 	f.Add(EncodeRunner(Runner{
-		ID: "i-1", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Capacity: 3,
-		Models: []Model{{Name: "m", Version: 1}},
+		ID:       "i-1",
+		Service:  "s",
+		Address:  netip.MustParseAddrPort("10.0.0.1:80"),
+		Capacity: 3,
+		Models:   []Model{{Name: "m", Version: 1}},
 	}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		runner, err := DecodeRunner(data)
@@ -88,8 +91,13 @@
 // benchmarkRunner returns a runner such as most of a deployment's are.
 func benchmarkRunner() Runner {
 	return Runner{
-		ID: "i-00e3a1", Service: "engine-large", Address: netip.MustParseAddrPort("10.128.0.9:8080"), Zone: "north-a",
-		Capacity: 64, SlowStartRemaining: 1500 * time.Millisecond, Phase: "both",
-		Models: []Model{{Name: "model-70b", Version: 3}, {Name: "model-8b", Version: 12}},
+		ID:                 "i-00e3a1",
+		Service:            "engine-large",
+		Address:            netip.MustParseAddrPort("10.128.0.9:8080"),
+		Zone:               "north-a",
+		Capacity:           64,
+		SlowStartRemaining: 1500 * time.Millisecond,
+		Phase:              "both",
+		Models:             []Model{{Name: "model-70b", Version: 3}, {Name: "model-8b", Version: 12}},
 	}
 }
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -140,7 +140,9 @@
 	if reader.err != nil {
 		return &UnpackError{reader.err}
 	}
-	b.Items, b.Packed, b.PackedAge = items, nil, 0
+	b.Items = items
+	b.Packed = nil
+	b.PackedAge = 0
 	return nil
 }
 
--- a/internal/system/feed/pack_test.go
+++ b/internal/system/feed/pack_test.go
@@ -20,8 +20,12 @@
 		value := fmt.Appendf(nil, `{"name":"route-%d","host":"shop%d.example","path_start":"/basket%d/list/","type":"read_only",`+
 			`"timeout_ms":%d,"target_ms":800,"rank":1,"service":"basket-api","tries":2,"sticky":false,"allowed_regions":["a","b"]}`,
 			i, i%7, i*i%977, 1000+i%10*500)
-		batch.Items = append(batch.Items, Item{Key: fmt.Sprint(KeyPrefixRoute, "route-", i), Index: uint64(i + 1), Value: value,
-			Age: time.Duration(i) * time.Second})
+		batch.Items = append(batch.Items, Item{
+			Key:   fmt.Sprint(KeyPrefixRoute, "route-", i),
+			Index: uint64(i + 1),
+			Value: value,
+			Age:   time.Duration(i) * time.Second,
+		})
 	}
 	return batch
 }
@@ -67,8 +71,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		batch := Batch{Snapshot: rapid.Bool().Draw(t, "snapshot"), To: 9}
 		batch.Items = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Item {
-			item := Item{Key: rapid.String().Draw(t, "key"), Index: rapid.Uint64().Draw(t, "index"),
-				Age: time.Duration(rapid.Int64Range(0, 1<<60).Draw(t, "age")), Deleted: rapid.Bool().Draw(t, "deleted")}
+			item := Item{
+				Key:     rapid.String().Draw(t, "key"),
+				Index:   rapid.Uint64().Draw(t, "index"),
+				Age:     time.Duration(rapid.Int64Range(0, 1<<60).Draw(t, "age")),
+				Deleted: rapid.Bool().Draw(t, "deleted"),
+			}
 			if !item.Deleted {
 				item.Value = bytes.Repeat([]byte{rapid.Byte().Draw(t, "octet")}, rapid.IntRange(0, 10000).Draw(t, "length"))
 			}
--- a/internal/system/processconfig/parse_test.go
+++ b/internal/system/processconfig/parse_test.go
@@ -74,7 +74,9 @@
 		offsets[problem.Path] = problem.Offset
 	}
 	for path, text := range map[string]string{
-		"free_ports[1]": "70000", "seed_nodes[1]": `"x"`, "timing.pass_ms": "-1",
+		"free_ports[1]":  "70000",
+		"seed_nodes[1]":  `"x"`,
+		"timing.pass_ms": "-1",
 	} {
 		if offset, known := offsets[path]; !known || offset != strings.Index(broken, text) {
 			t.Errorf("%s: offset %d in %v, want %d", path, offset, err, strings.Index(broken, text))
--- a/internal/system/processconfig/timing.go
+++ b/internal/system/processconfig/timing.go
@@ -34,12 +34,26 @@
 // retry or slow start budget that is not granted.
 func defaultTiming() Timing {
 	return Timing{
-		SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, InTouch: 4 * time.Second,
-		AckWithin: 5 * time.Second, CatchUp: 4 * time.Second, DrainWithin: 3 * time.Second,
-		GracePeriod: 8 * time.Second, LostSlack: 200 * time.Millisecond,
-		ConfigWithin: 2500 * time.Millisecond, GoBack: 250 * time.Millisecond, Stretch: 6 * time.Second,
-		Evacuate: 5 * time.Second, Recovery: 12 * time.Second, Pass: 250 * time.Millisecond, TTLMax: 5 * time.Second,
-		RetryRatio: 0.1, RetryWindow: 10 * time.Second, RetryAllowance: 0, SlowStartFactor: 1, SlowStartAllowance: 0,
+		SeedLag:            3 * time.Second,
+		ReuseAfter:         2 * time.Second,
+		InTouch:            4 * time.Second,
+		AckWithin:          5 * time.Second,
+		CatchUp:            4 * time.Second,
+		DrainWithin:        3 * time.Second,
+		GracePeriod:        8 * time.Second,
+		LostSlack:          200 * time.Millisecond,
+		ConfigWithin:       2500 * time.Millisecond,
+		GoBack:             250 * time.Millisecond,
+		Stretch:            6 * time.Second,
+		Evacuate:           5 * time.Second,
+		Recovery:           12 * time.Second,
+		Pass:               250 * time.Millisecond,
+		TTLMax:             5 * time.Second,
+		RetryRatio:         0.1,
+		RetryWindow:        10 * time.Second,
+		RetryAllowance:     0,
+		SlowStartFactor:    1,
+		SlowStartAllowance: 0,
 	}
 }
 
@@ -73,11 +87,22 @@
 
 func (t *Timing) durationField(base string) *time.Duration {
 	bounds := map[string]*time.Duration{
-		"seed_lag": &t.SeedLag, "reuse_after": &t.ReuseAfter, "in_touch": &t.InTouch, "ack_within": &t.AckWithin,
-		"catch_up": &t.CatchUp, "drain_within": &t.DrainWithin, "grace_period": &t.GracePeriod,
-		"lost_slack": &t.LostSlack, "config_within": &t.ConfigWithin, "go_back": &t.GoBack, "stretch": &t.Stretch,
-		"evacuate": &t.Evacuate, "recovery": &t.Recovery, "pass": &t.Pass, "ttl_max": &t.TTLMax,
-		"retry_window": &t.RetryWindow,
+		"seed_lag":      &t.SeedLag,
+		"reuse_after":   &t.ReuseAfter,
+		"in_touch":      &t.InTouch,
+		"ack_within":    &t.AckWithin,
+		"catch_up":      &t.CatchUp,
+		"drain_within":  &t.DrainWithin,
+		"grace_period":  &t.GracePeriod,
+		"lost_slack":    &t.LostSlack,
+		"config_within": &t.ConfigWithin,
+		"go_back":       &t.GoBack,
+		"stretch":       &t.Stretch,
+		"evacuate":      &t.Evacuate,
+		"recovery":      &t.Recovery,
+		"pass":          &t.Pass,
+		"ttl_max":       &t.TTLMax,
+		"retry_window":  &t.RetryWindow,
 	}
 	return bounds[base]
 }
--- a/internal/system/replica/agent_failover_test.go
+++ b/internal/system/replica/agent_failover_test.go
@@ -32,8 +32,12 @@
 
 // addFollower adds a following agent.
 func (sim *simulation) addFollower() *followingAgent {
-	agent := &followingAgent{sim: sim, selector: upstream.New(upstream.Options{}, sim.now),
-		table: feed.NewTable(feed.ConfigurationPartition), receivedAt: map[uint64]time.Duration{}}
+	agent := &followingAgent{
+		sim:        sim,
+		selector:   upstream.New(upstream.Options{}, sim.now),
+		table:      feed.NewTable(feed.ConfigurationPartition),
+		receivedAt: map[uint64]time.Duration{},
+	}
 	sim.schedule(0, agent.nextAttempt)
 	return agent
 }
--- a/internal/system/replica/bootstrap.go
+++ b/internal/system/replica/bootstrap.go
@@ -40,8 +40,11 @@
 	slices.SortFunc(addresses, netip.Addr.Compare)
 	var founders consensus.Membership
 	for _, machine := range addresses {
-		founders.Members = append(founders.Members, consensus.Member{ID: founderID(machine),
-			Address: controlAddress(settings, machine).String(), Voter: true})
+		founders.Members = append(founders.Members, consensus.Member{
+			ID:      founderID(machine),
+			Address: controlAddress(settings, machine).String(),
+			Voter:   true,
+		})
 	}
 	return founders, true
 }
--- a/internal/system/replica/bulk_transfer_test.go
+++ b/internal/system/replica/bulk_transfer_test.go
@@ -10,8 +10,14 @@
 // or overtakes without referring to them, and that nothing is sent twice.
 func TestMessageRouting(t *testing.T) {
 	entry := func(index, term uint64, bytes int) consensus.Message {
-		return consensus.Message{Kind: consensus.MessageAppend, Term: term, Index: index - 1, LogTerm: term, Round: 7,
-			Entries: []consensus.Entry{{Index: index, Term: term, Data: make([]byte, bytes)}}}
+		return consensus.Message{
+			Kind:    consensus.MessageAppend,
+			Term:    term,
+			Index:   index - 1,
+			LogTerm: term,
+			Round:   7,
+			Entries: []consensus.Entry{{Index: index, Term: term, Data: make([]byte, bytes)}},
+		}
 	}
 	under := &bulkTransfer{lastEntry: consensus.Entry{Index: 5, Term: 2}}
 	tests := []struct {
--- a/internal/system/replica/cluster_test.go
+++ b/internal/system/replica/cluster_test.go
@@ -118,10 +118,19 @@
 
 // add adds a machine that is not started.
 func (c *testCluster) add(i int, firstBoot bool) *testMachine {
-	machine := &testMachine{t: c.t, settings: processconfig.Settings{Node: fmt.Sprintf("core-%d", i), IP: loopback(i),
-		Zone: fmt.Sprintf("zone-%d", i%3), FreePorts: processconfig.PortRange{First: c.port, Last: c.port + 15},
-		SeedNodes: c.seeds, FirstBoot: firstBoot, StateDir: filepath.Join(c.t.TempDir(), "state"),
-		SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1}}}
+	machine := &testMachine{
+		t: c.t,
+		settings: processconfig.Settings{
+			Node:             fmt.Sprintf("core-%d", i),
+			IP:               loopback(i),
+			Zone:             fmt.Sprintf("zone-%d", i%3),
+			FreePorts:        processconfig.PortRange{First: c.port, Last: c.port + 15},
+			SeedNodes:        c.seeds,
+			FirstBoot:        firstBoot,
+			StateDir:         filepath.Join(c.t.TempDir(), "state"),
+			SurvivableLosses: processconfig.SurvivableLosses{Machines: 1, Zones: 1},
+		},
+	}
 	c.machines = append(c.machines, machine)
 	return machine
 }
@@ -137,8 +146,13 @@
 		states = append(states, state)
 	}
 	log := zaptest.NewLogger(m.t, zaptest.Level(zap.InfoLevel)).Named(m.settings.Node)
-	m.host = New(Options{Settings: &m.settings, StateMachines: states, Log: log, HeartbeatInterval: 40 * time.Millisecond,
-		ElectionTimeout: 250 * time.Millisecond})
+	m.host = New(Options{
+		Settings:          &m.settings,
+		StateMachines:     states,
+		Log:               log,
+		HeartbeatInterval: 40 * time.Millisecond,
+		ElectionTimeout:   250 * time.Millisecond,
+	})
 	if m.disk != nil {
 		m.host.openStore = m.disk.open
 	}
--- a/internal/system/replica/compatibility_test.go
+++ b/internal/system/replica/compatibility_test.go
@@ -33,8 +33,14 @@
 	}
 	want := []sent{
 		{0, consensus.Message{Kind: consensus.MessageAppend, From: 1, To: 2, Term: 7, Commit: 5, Round: 3}},
-		{300, consensus.Message{Kind: consensus.MessageAppend, From: 1, To: 2, Term: 7, Entries: []consensus.Entry{
-			{Index: 6, Term: 7, Data: bytes.Repeat([]byte("data"), 50_000)}}}},
+		{300, consensus.Message{
+			Kind: consensus.MessageAppend,
+			From: 1,
+			To:   2,
+			Term: 7,
+			Entries: []consensus.Entry{
+				{Index: 6, Term: 7, Data: bytes.Repeat([]byte("data"), 50_000)}},
+		}},
 	}
 	var batch []byte
 	for i := range want {
--- a/internal/system/replica/compression_test.go
+++ b/internal/system/replica/compression_test.go
@@ -36,8 +36,12 @@
 func TestMalformedDeliverRequests(t *testing.T) {
 	whole := newDeliverRequest(make([]byte, 2*bulkThresholdBytes)).Packed
 	huge := append(binary.AppendUvarint(nil, maxDecompressedBytes+1), whole...)
-	for name, packed := range map[string][]byte{"cut short": whole[:len(whole)/2], "huge": huge, "no size": {0xff},
-		"more than it can hold": binary.AppendUvarint(nil, 1<<20)} {
+	for name, packed := range map[string][]byte{
+		"cut short":             whole[:len(whole)/2],
+		"huge":                  huge,
+		"no size":               {0xff},
+		"more than it can hold": binary.AppendUvarint(nil, 1<<20),
+	} {
 		if _, err := (&DeliverRequest{Packed: packed}).decompress(); err == nil {
 			t.Errorf("%s: it is accepted", name)
 		}
--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -99,7 +99,8 @@
 // recordAttempt records when the current write was started, 0 if it succeeded, and its last error.
 func (d *diskWriter) recordAttempt(startedAt time.Duration, err error) {
 	d.mutex.Lock()
-	d.writeStarted, d.lastError = startedAt, err
+	d.writeStarted = startedAt
+	d.lastError = err
 	d.mutex.Unlock()
 }
 
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -46,8 +46,13 @@
 
 // newGroup returns a group that has no consensus node before start.
 func newGroup(partition feed.Partition, state StateMachine) *group {
-	return &group{partition: partition, state: state, proposals: make(map[uint64]*proposal),
-		pendingReads: make(map[uint64]chan consensus.ReadState), leaderChanged: make(chan struct{})}
+	return &group{
+		partition:     partition,
+		state:         state,
+		proposals:     make(map[uint64]*proposal),
+		pendingReads:  make(map[uint64]chan consensus.ReadState),
+		leaderChanged: make(chan struct{}),
+	}
 }
 
 // start creates the consensus node from its persistent state and restores the state machine.
@@ -59,9 +64,11 @@
 		if err := g.state.Restore(snapshot.Index, snapshot.Data); err != nil {
 			return err
 		}
-		g.appliedIndex, g.snapshotBytes = snapshot.Index, len(snapshot.Data)
+		g.appliedIndex = snapshot.Index
+		g.snapshotBytes = len(snapshot.Data)
 	}
-	g.commitIndex, g.lastHardState = stored.HardState.Commit, stored.HardState
+	g.commitIndex = stored.HardState.Commit
+	g.lastHardState = stored.HardState
 	stored.Snapshot.Data = nil // the state machine has it; this frees the memory
 	g.node = consensus.New(now, options, stored)
 	g.contacts = contacts{startedAt: now}
@@ -161,7 +168,9 @@
 	if err := g.state.Restore(snapshot.Index, snapshot.Data); err != nil {
 		return err
 	}
-	g.appliedIndex, g.snapshotBytes, g.logBytesSinceSnapshot = snapshot.Index, len(snapshot.Data), 0
+	g.appliedIndex = snapshot.Index
+	g.snapshotBytes = len(snapshot.Data)
+	g.logBytesSinceSnapshot = 0
 	for index := range g.proposals {
 		if index <= snapshot.Index {
 			g.resolveProposals(index, func(*proposal) ProposeReply { return ProposeReply{Outcome: OutcomeUnknown} })
@@ -193,7 +202,8 @@
 	if g.leader == leader && g.isLeader == leads {
 		return
 	}
-	g.leader, g.isLeader = leader, leads
+	g.leader = leader
+	g.isLeader = leads
 	close(g.leaderChanged)
 	g.leaderChanged = make(chan struct{})
 }
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -21,8 +21,12 @@
 // newScriptedGroup returns replica 1 of three voters.
 func newScriptedGroup(t *testing.T) *scriptedGroup {
 	t.Helper()
-	scripted := &scriptedGroup{t: t, group: newGroup(feed.ConfigurationPartition, &listState{}), now: time.Second,
-		lastSent: map[consensus.MessageKind]consensus.Message{}}
+	scripted := &scriptedGroup{
+		t:        t,
+		group:    newGroup(feed.ConfigurationPartition, &listState{}),
+		now:      time.Second,
+		lastSent: map[consensus.MessageKind]consensus.Message{},
+	}
 	var stored consensus.PersistentState
 	for id := consensus.ReplicaID(1); id <= 3; id++ {
 		stored.Snapshot.Membership.Members = append(stored.Snapshot.Membership.Members, consensus.Member{ID: id, Voter: true})
@@ -109,8 +113,13 @@
 	scripted.propose("keeps its place")
 	first := scripted.propose("is displaced")
 	before := scripted.lastSent[consensus.MessageVote].Term
-	scripted.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: before + 1, Round: 1,
-		Entries: []consensus.Entry{{Index: 1, Term: before + 1}}})
+	scripted.step(consensus.Message{
+		Kind:    consensus.MessageAppend,
+		From:    3,
+		Term:    before + 1,
+		Round:   1,
+		Entries: []consensus.Entry{{Index: 1, Term: before + 1}},
+	})
 	if _, received := receivedOutcome(first); received {
 		t.Fatal("an outcome was reported before one was known")
 	}
@@ -134,8 +143,12 @@
 		t.Fatalf("the last index of the log is %d, and the command's is %d", last, waiting[0].index)
 	}
 	scripted.group.abandonProposal(waiting[1])
-	scripted.step(consensus.Message{Kind: consensus.MessageAppendReply, From: 2, Term: scripted.lastSent[consensus.MessageVote].Term,
-		Index: waiting[0].index})
+	scripted.step(consensus.Message{
+		Kind:  consensus.MessageAppendReply,
+		From:  2,
+		Term:  scripted.lastSent[consensus.MessageVote].Term,
+		Index: waiting[0].index,
+	})
 	for i, p := range waiting {
 		if outcome, received := receivedOutcome(p); received != (i != 1) || received && outcome != OutcomeCommitted {
 			t.Errorf("proposal %d: outcome %d, received %v", i, outcome, received)
@@ -152,8 +165,14 @@
 	s.elect()
 	lost := s.propose("is lost")
 	term := s.lastSent[consensus.MessageVote].Term + 1
-	s.step(consensus.Message{Kind: consensus.MessageAppend, From: 3, Term: term, Round: 1, Commit: lost.index,
-		Entries: []consensus.Entry{{Index: 1, Term: term}, {Index: 2, Term: term, Data: []byte("another")}}})
+	s.step(consensus.Message{
+		Kind:    consensus.MessageAppend,
+		From:    3,
+		Term:    term,
+		Round:   1,
+		Commit:  lost.index,
+		Entries: []consensus.Entry{{Index: 1, Term: term}, {Index: 2, Term: term, Data: []byte("another")}},
+	})
 	if outcome, received := receivedOutcome(lost); !received || outcome != OutcomeDropped {
 		t.Errorf("outcome %d, received %v; want OutcomeDropped", outcome, received)
 	}
@@ -183,8 +202,14 @@
 // queued jobs is bounded.
 func TestStalledDiskBoundsQueue(t *testing.T) {
 	scripted := newScriptedGroup(t)
-	heartbeat := consensus.Message{Kind: consensus.MessageAppend, From: 2, To: 1, Term: 1, Round: 1,
-		Entries: []consensus.Entry{{Index: 1, Term: 1}}}
+	heartbeat := consensus.Message{
+		Kind:    consensus.MessageAppend,
+		From:    2,
+		To:      1,
+		Term:    1,
+		Round:   1,
+		Entries: []consensus.Entry{{Index: 1, Term: 1}},
+	}
 	for heartbeat.Round < 4*maxQueuedJobs {
 		scripted.now += defaultHeartbeatInterval
 		scripted.group.node.Step(scripted.now, heartbeat)
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -93,8 +93,13 @@
 	if options.ElectionTimeout == 0 {
 		options.ElectionTimeout = defaultElectionTimeout
 	}
-	host := &Host{options: options, log: options.Log, started: time.Now(), wake: make(chan struct{}, 1),
-		openStore: openStorage}
+	host := &Host{
+		options:   options,
+		log:       options.Log,
+		started:   time.Now(),
+		wake:      make(chan struct{}, 1),
+		openStore: openStorage,
+	}
 	if host.log == nil {
 		host.log = zap.NewNop()
 	}
@@ -212,7 +217,8 @@
 
 // processGroup handles the output of one group and reports changes of its applied index and of its leadership.
 func (h *Host) processGroup(g *group) {
-	appliedBefore, ledBefore := g.appliedIndex, g.isLeader
+	appliedBefore := g.appliedIndex
+	ledBefore := g.isLeader
 	if err := g.processReady(h); err != nil {
 		h.reportFailure(fmt.Errorf("replica: snapshot of partition %d: %w", g.partition, err))
 	}
@@ -302,8 +308,15 @@
 
 // nodeOptions returns the consensus configuration of a replica of any partition.
 func nodeOptions(id consensus.ReplicaID, seed uint64, heartbeat, election time.Duration) consensus.Config {
-	return consensus.Config{ID: id, HeartbeatInterval: heartbeat, ElectionTimeout: election, Seed: seed, MaxAppendBytes: maxAppendBytes,
-		MaxInflightAppends: maxInflightAppends, SnapshotThreshold: 4 * retainedEntries}
+	return consensus.Config{
+		ID:                 id,
+		HeartbeatInterval:  heartbeat,
+		ElectionTimeout:    election,
+		Seed:               seed,
+		MaxAppendBytes:     maxAppendBytes,
+		MaxInflightAppends: maxInflightAppends,
+		SnapshotThreshold:  4 * retainedEntries,
+	}
 }
 
 // randomUint64 returns a cryptographically random number.
--- a/internal/system/replica/membership_plan.go
+++ b/internal/system/replica/membership_plan.go
@@ -105,7 +105,8 @@
 func (view *membershipView) newestAttributes(member consensus.Member) consensus.Member {
 	for _, joining := range view.joining {
 		if joining.ID == member.ID && attributesDiffer(&member, &joining) {
-			joining.Voter, joining.Outgoing = member.Voter, member.Outgoing
+			joining.Voter = member.Voter
+			joining.Outgoing = member.Outgoing
 			return joining
 		}
 	}
@@ -116,7 +117,8 @@
 func (view *membershipView) withJoining(members []consensus.Member) []consensus.Member {
 	for _, joining := range view.joining {
 		if view.indexOf(joining.ID) < 0 && len(members) < maxMembers {
-			joining.Voter, joining.Outgoing = false, false
+			joining.Voter = false
+			joining.Outgoing = false
 			members = append(members, joining)
 		}
 	}
--- a/internal/system/replica/messages_test.go
+++ b/internal/system/replica/messages_test.go
@@ -11,8 +11,13 @@
 func FuzzReadMessage(f *testing.F) {
 	var batch []byte
 	for i := range 3 {
-		message := consensus.Message{Kind: consensus.MessageAppend, From: 1, To: 2, Term: uint64(i + 1),
-			Entries: []consensus.Entry{{Index: 1, Term: 1, Data: []byte("a")}}}
+		message := consensus.Message{
+			Kind:    consensus.MessageAppend,
+			From:    1,
+			To:      2,
+			Term:    uint64(i + 1),
+			Entries: []consensus.Entry{{Index: 1, Term: 1, Data: []byte("a")}},
+		}
 		batch = appendMessage(batch, 7, &message)
 	}
 	f.Add(batch)
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -53,8 +53,12 @@
 
 // newPeerSet returns an empty set. The context ends its goroutines, which are counted in the wait group.
 func newPeerSet(ctx context.Context, goroutines *sync.WaitGroup) *peerSet {
-	return &peerSet{context: ctx, goroutines: goroutines, byAddress: make(map[netip.AddrPort]*peer),
-		learnedAddresses: make(map[consensus.ReplicaID]netip.AddrPort)}
+	return &peerSet{
+		context:          ctx,
+		goroutines:       goroutines,
+		byAddress:        make(map[netip.AddrPort]*peer),
+		learnedAddresses: make(map[consensus.ReplicaID]netip.AddrPort),
+	}
 }
 
 // get returns the peer at an address; it creates the peer and starts its sender if there is none.
@@ -64,8 +68,13 @@
 		return remote
 	}
 	ctx, cancel := context.WithCancel(s.context)
-	remote = &peer{client: rpc.NewClient(address, peerOptions), wake: make(chan struct{}, 1), cancel: cancel,
-		activeSnapshots: make(map[feed.Partition]bool), bulkTransfers: make(map[feed.Partition]*bulkTransfer)}
+	remote = &peer{
+		client:          rpc.NewClient(address, peerOptions),
+		wake:            make(chan struct{}, 1),
+		cancel:          cancel,
+		activeSnapshots: make(map[feed.Partition]bool),
+		bulkTransfers:   make(map[feed.Partition]*bulkTransfer),
+	}
 	s.byAddress[address] = remote
 	s.goroutines.Add(1)
 	go func() {
--- a/internal/system/replica/reads.go
+++ b/internal/system/replica/reads.go
@@ -18,7 +18,8 @@
 	}
 	for {
 		leader, local, leaderChanged := h.locateLeader(g)
-		index, confirmed := uint64(0), false
+		index := uint64(0)
+		confirmed := false
 		switch {
 		case local:
 			index, confirmed = h.readIndexLocal(ctx, partition)
--- a/internal/system/replica/repair_test.go
+++ b/internal/system/replica/repair_test.go
@@ -211,8 +211,8 @@
 					}
 					sim.runFor(down + setup.repairDeadline())
 					if !sim.toleratesAnyLoss(0) {
-						t.Fatalf("seed %d: round %d leaves no majority\nreplay: go test ./internal/system/replica -run '%s' -core.seed %d -v",
-							seed, round, t.Name(), seed)
+						t.Fatalf("seed %d: round %d leaves no majority\nreplay: "+
+							"go test ./internal/system/replica -run '%s' -core.seed %d -v", seed, round, t.Name(), seed)
 					}
 				}
 				before := len(sim.oracle.versions)
--- a/internal/system/replica/shutdown.go
+++ b/internal/system/replica/shutdown.go
@@ -85,7 +85,8 @@
 // isVoteMovable reports whether a replica, as far as it knows, has a vote that a learner could take, or whether a
 // change that takes its vote is not committed yet.
 func isVoteMovable(status consensus.Status, self consensus.ReplicaID) bool {
-	votes, learners := false, false
+	votes := false
+	learners := false
 	for _, member := range status.Membership.Members {
 		switch {
 		case member.ID == self:
--- a/internal/system/replica/sim_linearizability_test.go
+++ b/internal/system/replica/sim_linearizability_test.go
@@ -147,8 +147,13 @@
 			unanswered[digest] = true
 			until = math.MaxInt64
 		}
-		operations = append(operations, porcupine.Operation{ClientId: record.operator, Input: record.request, Call: int64(record.invoked),
-			Output: record.response, Return: until})
+		operations = append(operations, porcupine.Operation{
+			ClientId: record.operator,
+			Input:    record.request,
+			Call:     int64(record.invoked),
+			Output:   record.response,
+			Return:   until,
+		})
 	}
 	return operations
 }
--- a/internal/system/replica/sim_link_test.go
+++ b/internal/system/replica/sim_link_test.go
@@ -49,10 +49,14 @@
 // send queues a message on a connection.
 func (l *simLink) send(connection *simConnection, bytes int, sent, lost func()) {
 	queued := l.sim.now
-	connection.queue = append(connection.queue, queuedMessage{remainingBytes: bytes, onLost: lost, onSent: func() {
-		l.sim.longestWait = max(l.sim.longestWait, l.sim.now-queued)
-		sent()
-	}})
+	connection.queue = append(connection.queue, queuedMessage{
+		remainingBytes: bytes,
+		onLost:         lost,
+		onSent: func() {
+			l.sim.longestWait = max(l.sim.longestWait, l.sim.now-queued)
+			sent()
+		},
+	})
 	connection.queuedBytes += bytes
 	l.sim.sentBytes += bytes
 	l.sendNext()
--- a/internal/system/replica/sim_oracle_test.go
+++ b/internal/system/replica/sim_oracle_test.go
@@ -46,9 +46,14 @@
 
 // newOracle returns an oracle without history.
 func newOracle() oracle {
-	return oracle{syncedStates: map[consensus.ReplicaID]*syncedState{}, appliedCommands: map[uint64]appliedCommand{},
-		leaders: map[uint64]consensus.ReplicaID{}, members: map[consensus.ReplicaID]bool{},
-		voters: map[consensus.ReplicaID]bool{}, commands: map[string]simRequest{}}
+	return oracle{
+		syncedStates:    map[consensus.ReplicaID]*syncedState{},
+		appliedCommands: map[uint64]appliedCommand{},
+		leaders:         map[uint64]consensus.ReplicaID{},
+		members:         map[consensus.ReplicaID]bool{},
+		voters:          map[consensus.ReplicaID]bool{},
+		commands:        map[string]simRequest{},
+	}
 }
 
 // recordMembership notes a membership that a leader proposed.
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -42,8 +42,13 @@
 	if machine.process != nil || machine.replaced {
 		return
 	}
-	process := &simProcess{sim: sim, machine: machine, alive: true, sendingSnapshot: map[int]bool{},
-		bulkTransfers: map[int]*bulkTransfer{}}
+	process := &simProcess{
+		sim:             sim,
+		machine:         machine,
+		alive:           true,
+		sendingSnapshot: map[int]bool{},
+		bulkTransfers:   map[int]*bulkTransfer{},
+	}
 	if sim.profile.Bandwidth > 0 {
 		process.link = &simLink{sim: sim}
 	}
--- a/internal/system/replica/sim_requests_test.go
+++ b/internal/system/replica/sim_requests_test.go
@@ -164,8 +164,12 @@
 		digest[len(digest)-1] = byte(sim.oracle.salt)
 		digest[len(digest)-2] = byte(sim.oracle.salt >> 8)
 	}
-	commit := state.CommitConfiguration{BaseVersion: request.base, Version: request.version, Digest: digest,
-		Writes: []state.Write{{Key: ownerKey, Value: request.digest[:]}}}
+	commit := state.CommitConfiguration{
+		BaseVersion: request.base,
+		Version:     request.version,
+		Digest:      digest,
+		Writes:      []state.Write{{Key: ownerKey, Value: request.digest[:]}},
+	}
 	if sim.profile.PaddingBytes > 0 {
 		commit.Writes = append(commit.Writes, state.Write{Key: "padding", Value: make([]byte, sim.profile.PaddingBytes)})
 	}
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -88,8 +88,14 @@
 
 // newSimulation returns a cluster that is not bootstrapped yet.
 func newSimulation(seed uint64) *simulation {
-	sim := &simulation{seed: seed, random: rand.New(rand.NewPCG(seed, 11)), faultsEnabled: true,
-		byAddress: map[netip.AddrPort]*simMachine{}, blockedLinks: map[[2]int]int{}, lastArrival: map[[2]int]time.Duration{}}
+	sim := &simulation{
+		seed:          seed,
+		random:        rand.New(rand.NewPCG(seed, 11)),
+		faultsEnabled: true,
+		byAddress:     map[netip.AddrPort]*simMachine{},
+		blockedLinks:  map[[2]int]int{},
+		lastArrival:   map[[2]int]time.Duration{},
+	}
 	sim.oracle = newOracle()
 	sim.profile = simProfile{
 		Machines:      []int{1, 2, 3, 3, 3, 4, 5, 5, 5, 6}[sim.random.IntN(10)],
@@ -201,10 +207,16 @@
 func (sim *simulation) addMachine(first bool) *simMachine {
 	n := len(sim.machines)
 	machine := &simMachine{index: n, disk: &simDisk{}, clockOffset: sim.uniform(0, time.Hour), clockRate: 0.98 + 0.04*sim.random.Float64()}
-	machine.settings = processconfig.Settings{Node: fmt.Sprintf("core-%d", n), IP: netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
-		Zone: fmt.Sprintf("zone-%d", n%3), FreePorts: processconfig.PortRange{First: 9000, Last: 9015}, SeedNodes: sim.seeds,
-		FirstBoot: first, SurvivableLosses: processconfig.SurvivableLosses{Machines: max(sim.toleratedLosses, 1), Zones: 1},
-		Timing: processconfig.Timing{CatchUp: testCatchUp}}
+	machine.settings = processconfig.Settings{
+		Node:             fmt.Sprintf("core-%d", n),
+		IP:               netip.AddrFrom4([4]byte{10, 0, 0, byte(n + 1)}),
+		Zone:             fmt.Sprintf("zone-%d", n%3),
+		FreePorts:        processconfig.PortRange{First: 9000, Last: 9015},
+		SeedNodes:        sim.seeds,
+		FirstBoot:        first,
+		SurvivableLosses: processconfig.SurvivableLosses{Machines: max(sim.toleratedLosses, 1), Zones: 1},
+		Timing:           processconfig.Timing{CatchUp: testCatchUp},
+	}
 	sim.machines = append(sim.machines, machine)
 	sim.byAddress[machine.address()] = machine
 	return machine
--- a/internal/system/replica/snapshots.go
+++ b/internal/system/replica/snapshots.go
@@ -29,7 +29,8 @@
 	if !ok {
 		return nil
 	}
-	g.snapshotPending, g.logBytesSinceSnapshot = true, 0
+	g.snapshotPending = true
+	g.logBytesSinceSnapshot = 0
 	return &snapshot
 }
 
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -108,8 +108,11 @@
 
 // TestFailoverTimeByLatency measures how long nothing is committed after the leader is killed, paused or partitioned.
 func TestFailoverTimeByLatency(t *testing.T) {
-	bounds := map[time.Duration]time.Duration{20 * time.Millisecond: 1500 * time.Millisecond, 90 * time.Millisecond: 3 * time.Second,
-		200 * time.Millisecond: 5 * time.Second}
+	bounds := map[time.Duration]time.Duration{
+		20 * time.Millisecond:  1500 * time.Millisecond,
+		90 * time.Millisecond:  3 * time.Second,
+		200 * time.Millisecond: 5 * time.Second,
+	}
 	kinds := []struct {
 		name   string
 		inject func(sim *simulation, leader *simMachine)
--- a/internal/system/replica/voter_plan.go
+++ b/internal/system/replica/voter_plan.go
@@ -102,7 +102,8 @@
 // classifyCandidates sorts the first maxVoterCandidates members into sets.
 func (view *membershipView) classifyCandidates() (candidates voterCandidates) {
 	for i := range min(len(view.members), maxVoterCandidates) {
-		member, bit := &view.members[i], voterSet(1)<<i
+		member := &view.members[i]
+		bit := voterSet(1) << i
 		available := view.isAvailable(i)
 		if view.isResponsive(i) {
 			candidates.responsive |= bit
--- a/internal/system/replica/write_load_test.go
+++ b/internal/system/replica/write_load_test.go
@@ -87,8 +87,12 @@
 	load.created++
 	request := simRequest{base: base, version: base + 1}
 	binary.BigEndian.PutUint64(request.digest[:], load.created)
-	commit := state.CommitConfiguration{BaseVersion: request.base, Version: request.version, Digest: request.digest,
-		Writes: []state.Write{{Key: ownerKey, Value: request.digest[:]}}}
+	commit := state.CommitConfiguration{
+		BaseVersion: request.base,
+		Version:     request.version,
+		Digest:      request.digest,
+		Writes:      []state.Write{{Key: ownerKey, Value: request.digest[:]}},
+	}
 	for i := range routes {
 		value := make([]byte, load.routeBytes)
 		binary.BigEndian.PutUint64(value, load.created)
--- a/internal/system/rpc/call_simulation_test.go
+++ b/internal/system/rpc/call_simulation_test.go
@@ -254,8 +254,13 @@
 		}
 		return near, ctx.Err()
 	}
-	scripted := &faultyServer{sim: sim, socket: far, decoder: gob.NewDecoder(far), encoder: gob.NewEncoder(far),
-		lastReplied: noSequence}
+	scripted := &faultyServer{
+		sim:         sim,
+		socket:      far,
+		decoder:     gob.NewDecoder(far),
+		encoder:     gob.NewEncoder(far),
+		lastReplied: noSequence,
+	}
 	go scripted.serve()
 	return near, ctx.Err()
 }
@@ -375,8 +380,12 @@
 	outcomes := map[string]int{}
 	for seed := first; seed < first+count; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			m := &callSimulation{random: rand.New(rand.NewPCG(seed, 6)), received: map[string]int{}, rejected: map[string]bool{},
-				outcomes: map[string]int{}}
+			m := &callSimulation{
+				random:   rand.New(rand.NewPCG(seed, 6)),
+				received: map[string]int{},
+				rejected: map[string]bool{},
+				outcomes: map[string]int{},
+			}
 			m.run()
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
--- a/internal/system/rpc/connection.go
+++ b/internal/system/rpc/connection.go
@@ -20,8 +20,13 @@
 
 func newConnection(socket net.Conn, options *ClientOptions) *connection {
 	codec := newClientCodec(socket, options)
-	conn := &connection{socket: socket, codec: codec, client: netrpc.NewClientWithCodec(codec),
-		sendToken: make(chan struct{}, 1), sendReplies: make(chan *netrpc.Call, options.MaxPendingSends)}
+	conn := &connection{
+		socket:      socket,
+		codec:       codec,
+		client:      netrpc.NewClientWithCodec(codec),
+		sendToken:   make(chan struct{}, 1),
+		sendReplies: make(chan *netrpc.Call, options.MaxPendingSends),
+	}
 	conn.sendToken <- struct{}{}
 	return conn
 }
--- a/internal/system/rpc/dial.go
+++ b/internal/system/rpc/dial.go
@@ -28,7 +28,9 @@
 			defer c.mutex.Unlock()
 			return c.connection, nil
 		}
-		attempt, wait, failure := c.pendingDial, time.Until(c.nextDialAt), c.lastDialError
+		attempt := c.pendingDial
+		wait := time.Until(c.nextDialAt)
+		failure := c.lastDialError
 		if attempt == nil && (c.dialBackoff == 0 || wait <= 0) {
 			attempt = &dialAttempt{done: make(chan struct{})}
 			c.pendingDial = attempt
--- a/internal/system/rpc/server.go
+++ b/internal/system/rpc/server.go
@@ -61,8 +61,10 @@
 // serveConnection starts to serve a connection, or closes it if there are too many. The goroutine ends with the
 // connection.
 func (s *server) serveConnection(socket net.Conn) {
-	codec := &serverCodec{stream: newStream(socket, s.limits.MaxRequestBytes, s.limits.WriteTimeout),
-		slots: make(chan struct{}, s.limits.MaxCallsPerConnection)}
+	codec := &serverCodec{
+		stream: newStream(socket, s.limits.MaxRequestBytes, s.limits.WriteTimeout),
+		slots:  make(chan struct{}, s.limits.MaxCallsPerConnection),
+	}
 	codec.onClose = func() { s.removeConnection(codec) }
 	s.mutex.Lock()
 	full := len(s.connections) >= s.limits.MaxConnections
--- a/internal/system/rpc/stream.go
+++ b/internal/system/rpc/stream.go
@@ -46,8 +46,13 @@
 func newStream(socket net.Conn, limit int64, writeTimeout time.Duration) *stream {
 	reader := &limitedReader{source: socket, limit: limit, remaining: limit}
 	writer := bufio.NewWriterSize(&timedWriter{socket, writeTimeout}, bufferSize)
-	return &stream{socket: socket, reader: reader, writer: writer,
-		decoder: gob.NewDecoder(bufio.NewReaderSize(reader, bufferSize)), encoder: gob.NewEncoder(writer)}
+	return &stream{
+		socket:  socket,
+		reader:  reader,
+		writer:  writer,
+		decoder: gob.NewDecoder(bufio.NewReaderSize(reader, bufferSize)),
+		encoder: gob.NewEncoder(writer),
+	}
 }
 
 // write sends a header and a body. After an error the stream can't be used any more.
--- a/internal/system/storage/database.go
+++ b/internal/system/storage/database.go
@@ -26,8 +26,12 @@
 // openDatabase opens the database or creates it. The driver reads the file before it returns, so that the locking mode
 // has to be part of the location: in the default mode the index of the write-ahead log is a file in shared memory.
 func openDatabase(path string) (*database, error) {
-	location := url.URL{Scheme: "file", OmitHost: true, Path: path,
-		RawQuery: "_busy_timeout=0&_mutex=no&_locking_mode=EXCLUSIVE"}
+	location := url.URL{
+		Scheme:   "file",
+		OmitHost: true,
+		Path:     path,
+		RawQuery: "_busy_timeout=0&_mutex=no&_locking_mode=EXCLUSIVE",
+	}
 	opened, err := (&sqlite3.SQLiteDriver{}).Open(location.String())
 	if err != nil {
 		return nil, err
--- a/internal/system/storage/load.go
+++ b/internal/system/storage/load.go
@@ -15,7 +15,8 @@
 		if row[0].(int64) != schemaVersion {
 			return &SchemaError{row[0].(int64), schemaVersion}
 		}
-		replica, initialized = consensus.ReplicaID(row[1].(int64)), true
+		replica = consensus.ReplicaID(row[1].(int64))
+		initialized = true
 		return nil
 	})
 	return replica, initialized, err
@@ -36,8 +37,11 @@
 func (db *database) loadHardState(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
 	return db.query(selectHardState, func(row []driver.Value) error {
 		*found = true
-		state.HardState = consensus.HardState{Term: uint64(row[0].(int64)), Vote: consensus.ReplicaID(row[1].(int64)),
-			Commit: uint64(row[2].(int64))}
+		state.HardState = consensus.HardState{
+			Term:   uint64(row[0].(int64)),
+			Vote:   consensus.ReplicaID(row[1].(int64)),
+			Commit: uint64(row[2].(int64)),
+		}
 		return nil
 	}, int64(partition))
 }
@@ -49,8 +53,12 @@
 		if err != nil {
 			return &CorruptError{Cause: fmt.Errorf("membership of partition %d: %w", partition, err)}
 		}
-		state.Snapshot = consensus.Snapshot{Index: uint64(row[0].(int64)), Term: uint64(row[1].(int64)),
-			Membership: membership, Data: copyBlob(row[3])}
+		state.Snapshot = consensus.Snapshot{
+			Index:      uint64(row[0].(int64)),
+			Term:       uint64(row[1].(int64)),
+			Membership: membership,
+			Data:       copyBlob(row[3]),
+		}
 		return nil
 	}, int64(partition))
 }
@@ -65,8 +73,12 @@
 			return &CorruptError{Cause: cause}
 		}
 		next++
-		state.Entries = append(state.Entries, consensus.Entry{Index: index, Term: uint64(row[1].(int64)),
-			Kind: consensus.EntryKind(row[2].(int64)), Data: copyBlob(row[4])})
+		state.Entries = append(state.Entries, consensus.Entry{
+			Index: index,
+			Term:  uint64(row[1].(int64)),
+			Kind:  consensus.EntryKind(row[2].(int64)),
+			Data:  copyBlob(row[4]),
+		})
 		state.HardState.Commit = max(state.HardState.Commit, uint64(row[3].(int64)))
 		return nil
 	}, entryKey(partition, 0), entryKey(partition+1, 0))
--- a/internal/system/storage/power_loss_test.go
+++ b/internal/system/storage/power_loss_test.go
@@ -159,12 +159,20 @@
 	case p.random.IntN(6) == 0 && len(next.Entries) > 1:
 		cut := 1 + p.random.IntN(len(next.Entries)-1)
 		at := next.Entries[cut-1]
-		write.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: newMembership(1),
-			Data: p.data(p.random.IntN(2) == 0)}
+		write.CompactionSnapshot = &consensus.Snapshot{
+			Index:      at.Index,
+			Term:       at.Term,
+			Membership: newMembership(1),
+			Data:       p.data(p.random.IntN(2) == 0),
+		}
 		next.Snapshot, next.Entries = *write.CompactionSnapshot, next.Entries[cut:]
 	case p.random.IntN(10) == 0:
-		write.InstalledSnapshot = &consensus.Snapshot{Index: last + 5, Term: next.HardState.Term + 1, Membership: newMembership(1, 2),
-			Data: p.data(p.random.IntN(2) == 0)}
+		write.InstalledSnapshot = &consensus.Snapshot{
+			Index:      last + 5,
+			Term:       next.HardState.Term + 1,
+			Membership: newMembership(1, 2),
+			Data:       p.data(p.random.IntN(2) == 0),
+		}
 		next.Snapshot, next.Entries = *write.InstalledSnapshot, nil
 	default:
 		keep := len(next.Entries) - min(p.random.IntN(3), len(next.Entries))
@@ -327,10 +335,13 @@
 	killed := readImage(t, folder)
 	aside := killed.writeFolder(t)
 	synced := []diskImage{killed}
-	moving := &Store{path: filepath.Join(aside, databaseName), syncPath: func(string) error {
-		synced = append(synced, readImage(t, aside))
-		return nil
-	}}
+	moving := &Store{
+		path: filepath.Join(aside, databaseName),
+		syncPath: func(string) error {
+			synced = append(synced, readImage(t, aside))
+			return nil
+		},
+	}
 	if err := moving.quarantine(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/storage/store.go
+++ b/internal/system/storage/store.go
@@ -32,8 +32,13 @@
 	if err := makeStateFolder(folder); err != nil {
 		return nil, err
 	}
-	store := &Store{path: filepath.Join(folder, databaseName), syncPath: syncFunc, requests: make(chan *request, maxQueuedRequests),
-		closing: make(chan struct{}), writerDone: make(chan struct{})}
+	store := &Store{
+		path:       filepath.Join(folder, databaseName),
+		syncPath:   syncFunc,
+		requests:   make(chan *request, maxQueuedRequests),
+		closing:    make(chan struct{}),
+		writerDone: make(chan struct{}),
+	}
 	err := store.open()
 	var corrupt *CorruptError
 	if errors.As(err, &corrupt) {
@@ -100,7 +105,8 @@
 		return db.applyAll(updates)
 	})
 	if err == nil {
-		s.replica, s.initialized = replica, true
+		s.replica = replica
+		s.initialized = true
 	}
 	return err
 }
