--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -51,8 +51,14 @@
 }
 
 func (d *dayCommand) options() (o emulator.Options, err error) {
-	o = emulator.Options{Scenario: scenarioByName(d.Scenario), EdgeMachines: d.Edges, ProgramDir: d.Programs,
-		WorkDir: d.Folder, Seed: d.Seed, Out: os.Stdout}
+	o = emulator.Options{
+		Scenario:     scenarioByName(d.Scenario),
+		EdgeMachines: d.Edges,
+		ProgramDir:   d.Programs,
+		WorkDir:      d.Folder,
+		Seed:         d.Seed,
+		Out:          os.Stdout,
+	}
 	o.Scenario.Load = d.Load
 	o.Scenario.Duration = d.Length
 	if o.ProgramDir == "" {
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -99,7 +99,12 @@
 	s.Duration = p.Length
 	s.Load = p.Load
 	if p.Burst != "" {
-		s.Bursts = []policysim.Burst{{Class: p.Burst, Factor: burstFactor, Start: burstFrom, Duration: burstFor}}
+		s.Bursts = []policysim.Burst{{
+			Class:    p.Burst,
+			Factor:   burstFactor,
+			Start:    burstFrom,
+			Duration: burstFor,
+		}}
 	}
 	for i := range p.Crash {
 		s.Crashes = append(s.Crashes, policysim.Crash{
--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -143,7 +143,11 @@
 	}
 	registry := rpc.NewRegistry()
 	feedserver.FollowMethod.Handle(registry, feedserver.New(feedserver.Options{
-		Sources: sources, Notifier: r.notifier, Now: r.now, Age: r.age, ProxyCount: func() int { return 0 },
+		Sources:    sources,
+		Notifier:   r.notifier,
+		Now:        r.now,
+		Age:        r.age,
+		ProxyCount: func() int { return 0 },
 	}).Follow)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
@@ -219,7 +223,13 @@
 }
 
 func runner(id string) discovery.Runner {
-	return discovery.Runner{ID: id, Service: "service", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a1", Capacity: 4}
+	return discovery.Runner{
+		ID:       id,
+		Service:  "service",
+		Address:  netip.MustParseAddrPort("10.0.0.1:80"),
+		Zone:     "a1",
+		Capacity: 4,
+	}
 }
 
 // edgeMachine is an edge machine: its agent, and the proxy's side of the calls.
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -54,8 +54,13 @@
 
 func (f *follower) poll(ctx context.Context, request upstream.Request) {
 	timeouts := rpc.ReceiveTimeouts{FirstByte: request.Timeout, Idle: replyReadTimeout, Total: maxReplyTime}
-	followRequest := &feed.FollowRequest{Node: f.node, Positions: f.store.positions(), Wait: request.Wait, Packed: true,
-		Current: request.Current}
+	followRequest := &feed.FollowRequest{
+		Node:      f.node,
+		Positions: f.store.positions(),
+		Wait:      request.Wait,
+		Packed:    true,
+		Current:   request.Current,
+	}
 	reply, err := feedserver.FollowMethod.InvokeWhileReceiving(ctx, f.connect(request), timeouts, followRequest)
 	if err == nil {
 		err = unpackBatches(reply)
@@ -66,8 +71,12 @@
 		f.selector.HandleFailure(f.now(), request.Address)
 		return
 	}
-	outcome := upstream.Reply{Ages: reply.Ages, Lagging: f.store.applyReply(reply), RetryAfter: reply.Busy,
-		Unusable: f.isPeer(request.Address)}
+	outcome := upstream.Reply{
+		Ages:       reply.Ages,
+		Lagging:    f.store.applyReply(reply),
+		RetryAfter: reply.Busy,
+		Unusable:   f.isPeer(request.Address),
+	}
 	f.selector.HandleReply(f.now(), request.Address, outcome)
 }
 
--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -146,8 +146,12 @@
 		return false
 	}
 	renewed := feed.NewTable(position.Partition)
-	renewed.Apply(now, feed.Batch{Partition: position.Partition, Snapshot: true, To: position.Index + 1,
-		Items: table.Snapshot(now).Items})
+	renewed.Apply(now, feed.Batch{
+		Partition: position.Partition,
+		Snapshot:  true,
+		To:        position.Index + 1,
+		Items:     table.Snapshot(now).Items,
+	})
 	t.served[position.Partition] = renewed
 	return true
 }
--- a/internal/system/agent/overlay/tables_test.go
+++ b/internal/system/agent/overlay/tables_test.go
@@ -40,7 +40,13 @@
 }
 
 func runner(id string) discovery.Runner {
-	return discovery.Runner{ID: id, Service: "service", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "a1", Capacity: 4}
+	return discovery.Runner{
+		ID:       id,
+		Service:  "service",
+		Address:  netip.MustParseAddrPort("10.0.0.1:80"),
+		Zone:     "a1",
+		Capacity: 4,
+	}
 }
 
 func drainingRunner(id string) discovery.Runner {
--- a/internal/system/agent/platformpoller.go
+++ b/internal/system/agent/platformpoller.go
@@ -38,8 +38,15 @@
 
 func newPlatformPoller(log *zap.Logger, now func() time.Duration, lister lister, store *store, pace func() fallback.Pace,
 	random func() float64) *platformPoller {
-	return &platformPoller{log: log, now: now, lister: lister, store: store, pace: pace,
-		changed: make(chan struct{}, 1), poller: fallback.New(random)}
+	return &platformPoller{
+		log:     log,
+		now:     now,
+		lister:  lister,
+		store:   store,
+		pace:    pace,
+		changed: make(chan struct{}, 1),
+		poller:  fallback.New(random),
+	}
 }
 
 // update sets the partitions of runners from which the agent is cut off.
--- a/internal/system/agent/proxymonitor.go
+++ b/internal/system/agent/proxymonitor.go
@@ -38,7 +38,12 @@
 }
 
 func newProxyMonitor(log *zap.Logger, now func() time.Duration) *proxyMonitor {
-	p := &proxyMonitor{log: log, now: now, firstReport: make(chan struct{}), disconnected: make(chan struct{})}
+	p := &proxyMonitor{
+		log:          log,
+		now:          now,
+		firstReport:  make(chan struct{}),
+		disconnected: make(chan struct{}),
+	}
 	close(p.disconnected)
 	p.timer = time.AfterFunc(time.Hour, p.tick)
 	p.timer.Stop()
--- a/internal/system/agent/upstream/partitions_test.go
+++ b/internal/system/agent/upstream/partitions_test.go
@@ -221,8 +221,14 @@
 
 func newSimulation(seed uint64, lost feed.PartitionSet) *simulation {
 	random := rand.New(rand.NewPCG(seed, 43))
-	simulation := &simulation{random: random, selector: newTestSelector(), replicas: 3 + 2*random.IntN(3), lost: lost,
-		lostAt: 10 * second, roundTrip: time.Duration(1+random.IntN(180)) * time.Millisecond}
+	simulation := &simulation{
+		random:    random,
+		selector:  newTestSelector(),
+		replicas:  3 + 2*random.IntN(3),
+		lost:      lost,
+		lostAt:    10 * second,
+		roundTrip: time.Duration(1+random.IntN(180)) * time.Millisecond,
+	}
 	if random.IntN(2) == 0 {
 		simulation.silent = 1 + random.IntN(simulation.replicas)
 	}
--- a/internal/system/emulator/configuration.go
+++ b/internal/system/emulator/configuration.go
@@ -56,10 +56,18 @@
 }
 
 func routeDocumentOf(c *policysim.Class) routeDocument {
-	r := routeDocument{Name: "r-" + c.Name, Host: routeHost, PathStart: pathPrefix(c), Type: typeName(c.Type),
-		TimeoutMS: c.Deadline.Milliseconds(),
-		TargetMS:  c.LatencyTarget.Milliseconds(), Rank: c.Rank, Service: c.Service, Tries: c.MaxAttempts,
-		HomeRegions: []string{}}
+	r := routeDocument{
+		Name:        "r-" + c.Name,
+		Host:        routeHost,
+		PathStart:   pathPrefix(c),
+		Type:        typeName(c.Type),
+		TimeoutMS:   c.Deadline.Milliseconds(),
+		TargetMS:    c.LatencyTarget.Milliseconds(),
+		Rank:        c.Rank,
+		Service:     c.Service,
+		Tries:       c.MaxAttempts,
+		HomeRegions: []string{},
+	}
 	if c.Type == configuration.Streaming {
 		r.PinCache = true
 		r.Resumable = c.Resumable
@@ -70,14 +78,24 @@
 }
 
 func serviceDocumentOf(s *policysim.Service) map[string]any {
-	service := map[string]any{"name": s.Name, "health_path": healthPath, "max_conns": s.MaxConnections,
-		"protocol":   "h1",
-		"use_tls":    false,
-		"cold_for_s": s.SlowStartDuration.Seconds(), "cold_rate_s": s.SlowStartRate}
+	service := map[string]any{
+		"name":        s.Name,
+		"health_path": healthPath,
+		"max_conns":   s.MaxConnections,
+		"protocol":    "h1",
+		"use_tls":     false,
+		"cold_for_s":  s.SlowStartDuration.Seconds(),
+		"cold_rate_s": s.SlowStartRate,
+	}
 	if e := s.Engine; e != nil {
-		service["backend"] = map[string]any{"capacity": e.MaxRunning, "cache_tokens": e.MemoryTokens,
+		service["backend"] = map[string]any{
+			"capacity":          e.MaxRunning,
+			"cache_tokens":      e.MemoryTokens,
 			"token_cache_bytes": 327680,
-			"link_mbps":         550000.0, "stride": e.EventTokens, "models": []map[string]string{{"name": modelName}}}
+			"link_mbps":         550000.0,
+			"stride":            e.EventTokens,
+			"models":            []map[string]string{{"name": modelName}},
+		}
 	}
 	return service
 }
--- a/internal/system/emulator/deployment.go
+++ b/internal/system/emulator/deployment.go
@@ -68,9 +68,12 @@
 	if class == edgeClass {
 		host++
 	}
-	d.machines = append(d.machines, &machine{name: fmt.Sprintf("%s-%d", class, i+1), class: class,
-		zone: d.zoneNames[zone],
-		ip:   netip.AddrFrom4([4]byte{127, 0, byte(zone + 1), host})})
+	d.machines = append(d.machines, &machine{
+		name:  fmt.Sprintf("%s-%d", class, i+1),
+		class: class,
+		zone:  d.zoneNames[zone],
+		ip:    netip.AddrFrom4([4]byte{127, 0, byte(zone + 1), host}),
+	})
 }
 
 // machinesOfClass returns the machines of a class.
--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -74,10 +74,13 @@
 		return nil, err
 	}
 	e := &emulation{options: o}
-	e.checker = checker.New(checker.Limits{DrainGrace: milliseconds(defaultTiming.DrainWithinMS),
+	e.checker = checker.New(checker.Limits{
+		DrainGrace:      milliseconds(defaultTiming.DrainWithinMS),
 		EvacuationGrace: milliseconds(defaultTiming.EvacuateMS),
-		RetryRatio:      defaultTiming.RetryRatio, RetryWindow: time.Duration(defaultTiming.RetryWindowS) * time.Second,
-		RetryAllowance: defaultTiming.RetryExtra}, nil)
+		RetryRatio:      defaultTiming.RetryRatio,
+		RetryWindow:     time.Duration(defaultTiming.RetryWindowS) * time.Second,
+		RetryAllowance:  defaultTiming.RetryExtra,
+	}, nil)
 	report, err := e.run(ctx, programs)
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs are in %s)", err, o.WorkDir)
@@ -113,9 +116,12 @@
 	if e.deployment, err = planDeployment(e.options.Scenario, e.options.EdgeMachines, e.options.WorkDir); err != nil {
 		return err
 	}
-	e.platform, err = fakeplatform.Start(fakeplatform.Options{Address: platformAddress,
-		PropagationDelay: milliseconds(platformLagMS), PageSize: platformPageSize,
-		CallsPerSecond: platformCallsPerSecond})
+	e.platform, err = fakeplatform.Start(fakeplatform.Options{
+		Address:          platformAddress,
+		PropagationDelay: milliseconds(platformLagMS),
+		PageSize:         platformPageSize,
+		CallsPerSecond:   platformCallsPerSecond,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/system/emulator/emulation_test.go
+++ b/internal/system/emulator/emulation_test.go
@@ -60,9 +60,15 @@
 	scenario := policysim.Screening()
 	scenario.Duration = 6 * time.Second
 	scenario.Load = 0.3
-	report, err := Run(context.Background(), Options{Scenario: scenario, EdgeMachines: 3, ProgramDir: buildPrograms(t),
-		WorkDir: t.TempDir(),
-		Faults:  []Fault{CrashRunner, KillProxy, KillControl}, Seed: 1, Out: io.Discard})
+	report, err := Run(context.Background(), Options{
+		Scenario:     scenario,
+		EdgeMachines: 3,
+		ProgramDir:   buildPrograms(t),
+		WorkDir:      t.TempDir(),
+		Faults:       []Fault{CrashRunner, KillProxy, KillControl},
+		Seed:         1,
+		Out:          io.Discard,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/emulator/faults.go
+++ b/internal/system/emulator/faults.go
@@ -56,8 +56,15 @@
 )
 
 // corruption holds the shares of responses that are corrupted in each way.
-var corruption = runner.Faults{Truncate: 0.03, ExtraBytes: 0.03, StaleAnswer: 0.03, Garbage: 0.02, NoAnswer: 0.01, Reset: 0.03,
-	Close: 0.03}
+var corruption = runner.Faults{
+	Truncate:    0.03,
+	ExtraBytes:  0.03,
+	StaleAnswer: 0.03,
+	Garbage:     0.02,
+	NoAnswer:    0.01,
+	Reset:       0.03,
+	Close:       0.03,
+}
 
 // scheduleFault injects a fault after a delay; emulation.faults waits for it.
 func (e *emulation) scheduleFault(ctx context.Context, fault Fault, delay time.Duration) {
@@ -172,10 +179,13 @@
 func (e *emulation) probe(ctx context.Context, m *machine, route *client.Route) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	load := client.New(client.Options{RegionOfZone: e.deployment.zones, ClientsPerZone: 1,
-		FixedAddress: m.addressWithPort(e.deployment.ports.front).String(),
-		Checker:      e.checker,
-		Seed:         e.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3])})
+	load := client.New(client.Options{
+		RegionOfZone:   e.deployment.zones,
+		ClientsPerZone: 1,
+		FixedAddress:   m.addressWithPort(e.deployment.ports.front).String(),
+		Checker:        e.checker,
+		Seed:           e.options.Seed + uint64(m.ip.As4()[2])<<8 + uint64(m.ip.As4()[3]),
+	})
 	load.Do(ctx, load.Client(m.zone, 0), &client.Call{Route: route, Zone: m.zone, BodyBytes: 100})
 	if tally := load.Stats(); tally.Routes[0].ClientErrors > 0 {
 		e.checker.Report(checker.ConfigurationMismatch, "%s does not know a route that was acknowledged %d ms before", m.name,
--- a/internal/system/emulator/fleet.go
+++ b/internal/system/emulator/fleet.go
@@ -49,9 +49,14 @@
 // startFleet starts the runners of all services.
 func startFleet(scenario *policysim.Scenario, zones map[string]string, platform *fakeplatform.Platform,
 	referee *checker.Checker) (*runnerFleet, error) {
-	f := &runnerFleet{scenario: scenario, platform: platform, checker: referee, zones: zones,
+	f := &runnerFleet{
+		scenario: scenario,
+		platform: platform,
+		checker:  referee,
+		zones:    zones,
 		entries:  make(map[string]fakeplatform.Entry),
-		services: make(map[string]*policysim.Service)}
+		services: make(map[string]*policysim.Service),
+	}
 	for i := range scenario.Services {
 		for _, zone := range scenario.Zones {
 			for range scenario.Services[i].Runners[zone.Name] {
@@ -81,8 +86,13 @@
 	if err != nil {
 		return nil, err
 	}
-	entry := fakeplatform.Entry{ID: o.ID, Service: service.Name, Address: r.Address(), Zone: zone,
-		Capacity: service.Slots}
+	entry := fakeplatform.Entry{
+		ID:       o.ID,
+		Service:  service.Name,
+		Address:  r.Address(),
+		Zone:     zone,
+		Capacity: service.Slots,
+	}
 	if service.Engine != nil {
 		entry.Capacity = service.Engine.MaxRunning
 		entry.Model = modelName
@@ -102,12 +112,22 @@
 // machines.
 func (f *runnerFleet) runnerOptions(s *policysim.Service, zone string) (o runner.Options, err error) {
 	o = runner.Options{
-		Runner:  checker.Runner{ID: fmt.Sprintf("i-%04x", f.count), Service: s.Name, Zone: zone, Region: f.zones[zone]},
-		Address: fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250), HealthPath: healthPath,
-		MaxConns: s.MaxConnections, IdleTimeout: runnerIdleTimeout, CloseShare: connectionCloseShare, ReportDelay: reportLag,
-		SlowStart: defaultTiming.slowStart(s.SlowStartRate),
-		Checker:   f.checker,
-		Seed:      uint64(f.count), BodyBytes: plainBodyBytes,
+		Runner: checker.Runner{
+			ID:      fmt.Sprintf("i-%04x", f.count),
+			Service: s.Name,
+			Zone:    zone,
+			Region:  f.zones[zone],
+		},
+		Address:     fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250),
+		HealthPath:  healthPath,
+		MaxConns:    s.MaxConnections,
+		IdleTimeout: runnerIdleTimeout,
+		CloseShare:  connectionCloseShare,
+		ReportDelay: reportLag,
+		SlowStart:   defaultTiming.slowStart(s.SlowStartRate),
+		Checker:     f.checker,
+		Seed:        uint64(f.count),
+		BodyBytes:   plainBodyBytes,
 	}
 	if s.Engine != nil {
 		o.EventTokens = s.Engine.EventTokens
--- a/internal/system/emulator/fleet_test.go
+++ b/internal/system/emulator/fleet_test.go
@@ -20,14 +20,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	rs, err := startFleet(policysim.Screening(), map[string]string{"west-a": "west", "west-b": "west",
-		"east-a": "east"}, list,
-		checker.New(checker.Limits{}, nil))
+	regions := map[string]string{
+		"west-a": "west",
+		"west-b": "west",
+		"east-a": "east",
+	}
+	fleet, err := startFleet(policysim.Screening(), regions, list, checker.New(checker.Limits{}, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { rs.close() })
-	return rs
+	t.Cleanup(func() { fleet.close() })
+	return fleet
 }
 
 // request sends a request with an id directly to a runner.
@@ -40,8 +43,14 @@
 	q.Host = routeHost
 	q.Header.Set(answer.HeaderAttemptID, id)
 	if route != nil {
-		f.checker.RequestSent(checker.Attempt{ID: id, Method: http.MethodPost, Host: routeHost, URI: "/lookup/1",
-			Body: checker.Hash([]byte("x")), Route: route})
+		f.checker.RequestSent(checker.Attempt{
+			ID:     id,
+			Method: http.MethodPost,
+			Host:   routeHost,
+			URI:    "/lookup/1",
+			Body:   checker.Hash([]byte("x")),
+			Route:  route,
+		})
 	}
 	resp, err := http.DefaultClient.Do(q)
 	if err != nil {
--- a/internal/system/emulator/ports.go
+++ b/internal/system/emulator/ports.go
@@ -22,8 +22,13 @@
 	for range portAttempts {
 		first := uint16(firstPort + rand.IntN(lastPort-firstPort-portCount))
 		if d.portsAreFree(first) {
-			d.ports = ports{front: first, ready: first + 1, control: first + 2, directory: first + 3,
-				firstFree: first + 4}
+			d.ports = ports{
+				front:     first,
+				ready:     first + 1,
+				control:   first + 2,
+				directory: first + 3,
+				firstFree: first + 4,
+			}
 			return nil
 		}
 	}
--- a/internal/system/emulator/process.go
+++ b/internal/system/emulator/process.go
@@ -43,8 +43,15 @@
 	if err != nil {
 		return nil, err
 	}
-	proc := &process{deployment: d, machine: m, program: p, path: path, log: log, restart: true,
-		done: make(chan struct{})}
+	proc := &process{
+		deployment: d,
+		machine:    m,
+		program:    p,
+		path:       path,
+		log:        log,
+		restart:    true,
+		done:       make(chan struct{}),
+	}
 	if err := proc.start(); err != nil {
 		log.Close()
 		return nil, fmt.Errorf("%s on %s: %w", p, m.name, err)
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -47,8 +47,12 @@
 )
 
 func (e *emulation) buildReport() *Report {
-	report := &Report{Clients: e.clients.Stats(), Runners: e.runnerStats, Platform: e.platform.Stats(),
-		RepeatedRequests: e.checker.Retries()}
+	report := &Report{
+		Clients:          e.clients.Stats(),
+		Runners:          e.runnerStats,
+		Platform:         e.platform.Stats(),
+		RepeatedRequests: e.checker.Retries(),
+	}
 	denied := 0
 	for _, route := range report.Clients.Routes {
 		denied += route.ClientErrors
@@ -62,9 +66,13 @@
 		}
 	}
 	for _, p := range e.processes {
-		report.Processes = append(report.Processes, ProcessReport{Machine: p.machine.name, Program: string(p.program),
-			PeakMB: p.peakMB(),
-			Starts: p.starts, UnexpectedEnds: p.unexpectedEnds})
+		report.Processes = append(report.Processes, ProcessReport{
+			Machine:        p.machine.name,
+			Program:        string(p.program),
+			PeakMB:         p.peakMB(),
+			Starts:         p.starts,
+			UnexpectedEnds: p.unexpectedEnds,
+		})
 	}
 	report.Breaches = e.checker.Finish()
 	return report
--- a/internal/system/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -83,17 +83,39 @@
 }
 
 // defaultTiming holds the bounds of the emulated deployment.
-var defaultTiming = timing{SeedLagS: 3, ReuseAfterS: 2, InTouchMS: 4000, AckWithinMS: 5000, CatchUpS: 4,
-	DrainWithinMS: 4000,
-	GracePeriodS:  8, LostSlackMS: 200, ConfigWithinMS: 2500, GoBackMS: 250, StretchMS: 6000, RetryRatio: 0.2,
-	RetryWindowS: 10,
-	RetryExtra:   54, ColdExcess: 1.5, ColdSlack: 5, EvacuateMS: 5000, RecoveryS: 12, PassMS: 300, TTLMaxS: 5}
+var defaultTiming = timing{
+	SeedLagS:       3,
+	ReuseAfterS:    2,
+	InTouchMS:      4000,
+	AckWithinMS:    5000,
+	CatchUpS:       4,
+	DrainWithinMS:  4000,
+	GracePeriodS:   8,
+	LostSlackMS:    200,
+	ConfigWithinMS: 2500,
+	GoBackMS:       250,
+	StretchMS:      6000,
+	RetryRatio:     0.2,
+	RetryWindowS:   10,
+	RetryExtra:     54,
+	ColdExcess:     1.5,
+	ColdSlack:      5,
+	EvacuateMS:     5000,
+	RecoveryS:      12,
+	PassMS:         300,
+	TTLMaxS:        5,
+}
 
 // slowStartFailureFactor is the multiple of its rate at which an emulated runner in slow start crashes.
 const slowStartFailureFactor = 4
 
 func (t *timing) slowStart(rate float64) engine.SlowStart {
-	return engine.SlowStart{Rate: rate, MaxMultiple: t.ColdExcess, Allowance: t.ColdSlack, CrashMultiple: slowStartFailureFactor}
+	return engine.SlowStart{
+		Rate:          rate,
+		MaxMultiple:   t.ColdExcess,
+		Allowance:     t.ColdSlack,
+		CrashMultiple: slowStartFailureFactor,
+	}
 }
 
 // Limits of the emulated platform.
@@ -109,17 +131,32 @@
 // settingsOf returns the settings of a process on a machine.
 func (d *deployment) settingsOf(m *machine, p program, firstBoot bool) settings {
 	s := settings{
-		Node: m.name, Role: string(p), MachineClass: m.class, ServesRoles: []string{}, IP: m.ip, Zone: m.zone,
-		Region: d.zones[m.zone],
-		Zones:  d.zones, ListenOn: map[string]string{}, FreePorts: [2]uint16{d.ports.firstFree,
+		Node:         m.name,
+		Role:         string(p),
+		MachineClass: m.class,
+		ServesRoles:  []string{},
+		IP:           m.ip,
+		Zone:         m.zone,
+		Region:       d.zones[m.zone],
+		Zones:        d.zones,
+		ListenOn:     map[string]string{},
+		FreePorts: [2]uint16{d.ports.firstFree,
 			d.ports.firstFree + freePortCount - 1},
-		SeedNodes: d.seedAddresses(), FirstBoot: firstBoot, FoundVia: "cloud_api", EntryKind: "directory",
+		SeedNodes: d.seedAddresses(),
+		FirstBoot: firstBoot,
+		FoundVia:  "cloud_api",
+		EntryKind: "directory",
 		BeatEvery: 1200,
 		Promises:  []string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream", "places"},
 		Limits:    limits{CPUFraction: 1, CPUCores: 1, RAMMB: ramMB, OpenFiles: openFiles, LinkMbps: 1000},
-		Survive:   survive{MachineLosses: 1, Zones: 1}, Timing: defaultTiming,
-		CloudAPI: cloudAPI{Address: d.platformAddress.String(), RatePerS: platformCallsPerSecond, Jobs: []string{},
-			MaxLagMS: platformLagMS},
+		Survive:   survive{MachineLosses: 1, Zones: 1},
+		Timing:    defaultTiming,
+		CloudAPI: cloudAPI{
+			Address:  d.platformAddress.String(),
+			RatePerS: platformCallsPerSecond,
+			Jobs:     []string{},
+			MaxLagMS: platformLagMS,
+		},
 	}
 	switch p {
 	case proxy:
--- a/internal/system/emulator/traffic.go
+++ b/internal/system/emulator/traffic.go
@@ -18,8 +18,13 @@
 		c := &e.options.Scenario.Classes[i]
 		e.routes[c.Name] = clientRoute(c)
 	}
-	e.clients = client.New(client.Options{RegionOfZone: e.deployment.zones, Directories: e.deployment.directories,
-		MaxTTL: time.Duration(defaultTiming.TTLMaxS) * time.Second, Checker: e.checker, Seed: e.options.Seed})
+	e.clients = client.New(client.Options{
+		RegionOfZone: e.deployment.zones,
+		Directories:  e.deployment.directories,
+		MaxTTL:       time.Duration(defaultTiming.TTLMaxS) * time.Second,
+		Checker:      e.checker,
+		Seed:         e.options.Seed,
+	})
 	for i, fault := range e.options.Faults {
 		e.scheduleFault(ctx, fault,
 			e.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(e.options.Faults)+1))
@@ -32,14 +37,25 @@
 }
 
 func clientRoute(c *policysim.Class) *client.Route {
-	r := &client.Route{Name: c.Name, Host: routeHost, Path: pathPrefix(c) + "1",
-		Stream:    c.Type == configuration.Streaming,
-		Resumable: c.Resumable,
-		ReadOnly:  c.Type == configuration.ReadOnly, LatencyTarget: c.LatencyTarget, MaxEventGap: c.EventGapTarget,
-		Deadline: c.Deadline, MaxRetries: c.ClientRetries}
-	r.CheckerRoute = &checker.Route{Name: c.Name, Services: []string{c.Service}, HomeRegions: c.HomeRegions,
+	r := &client.Route{
+		Name:          c.Name,
+		Host:          routeHost,
+		Path:          pathPrefix(c) + "1",
+		Stream:        c.Type == configuration.Streaming,
+		Resumable:     c.Resumable,
+		ReadOnly:      c.Type == configuration.ReadOnly,
+		LatencyTarget: c.LatencyTarget,
+		MaxEventGap:   c.EventGapTarget,
+		Deadline:      c.Deadline,
+		MaxRetries:    c.ClientRetries,
+	}
+	r.CheckerRoute = &checker.Route{
+		Name:        c.Name,
+		Services:    []string{c.Service},
+		HomeRegions: c.HomeRegions,
 		Idempotent: r.ReadOnly ||
-			r.Stream && r.Resumable}
+			r.Stream && r.Resumable,
+	}
 	return r
 }
 
@@ -47,9 +63,14 @@
 func (e *emulation) calls() (calls []*client.Call) {
 	const bytesPerToken = 2
 	for _, generated := range policysim.GenerateTraffic(e.options.Scenario, e.options.Seed) {
-		call := &client.Call{Start: generated.At, Route: e.routes[generated.Class.Name], Zone: generated.Zone,
+		call := &client.Call{
+			Start:           generated.At,
+			Route:           e.routes[generated.Class.Name],
+			Zone:            generated.Zone,
 			PromptTokens:    generated.PromptTokens(),
-			MaxOutputTokens: generated.OutputTokens, BodyBytes: bytesPerToken * generated.PromptTokens()}
+			MaxOutputTokens: generated.OutputTokens,
+			BodyBytes:       bytesPerToken * generated.PromptTokens(),
+		}
 		if len(generated.Chunks) > 0 {
 			call.Model = modelName
 		}
--- a/internal/system/exposition/serve.go
+++ b/internal/system/exposition/serve.go
@@ -30,8 +30,12 @@
 		log.Warn("figures are not served, check that no other process holds their port", zap.Error(err))
 		return
 	}
-	server := &http.Server{Handler: Handler(fill), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeaderBytes}
+	server := &http.Server{
+		Handler:           Handler(fill),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			log.Warn("figures are not served any more", zap.Error(err))
--- a/internal/system/gossip/isolation_test.go
+++ b/internal/system/gossip/isolation_test.go
@@ -93,8 +93,16 @@
 		if i < 2 {
 			role = Control
 		}
-		list := &Memberlist{epoch: time.Now(), address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
-			options: Options{Node: fmt.Sprint("node-", i), Role: role, ProbeInterval: DefaultProbeInterval, Seeds: []netip.AddrPort{first}}}
+		list := &Memberlist{
+			epoch:   time.Now(),
+			address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), first.Port()),
+			options: Options{
+				Node:          fmt.Sprint("node-", i),
+				Role:          role,
+				ProbeInterval: DefaultProbeInterval,
+				Seeds:         []netip.AddrPort{first},
+			},
+		}
 		list.metadata = membership.Metadata{Role: string(role), Serving: string(ServingNow), Front: fmt.Sprintf("10.0.0.%d:80", i+1)}
 		options := list.nodeOptions()
 		options.RandomSeed = random.Uint64()
--- a/internal/system/gossip/memberlist_test.go
+++ b/internal/system/gossip/memberlist_test.go
@@ -39,10 +39,13 @@
 func (cluster *testCluster) options(node string, role Role, zone string) Options {
 	cluster.lastHost++
 	options := Options{
-		Node: node, Role: role, Zone: zone,
-		Zones:       map[string]string{"a1": "a", "a2": "a", "b1": "b"},
-		Listen:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 10 + cluster.lastHost}), 0),
-		ControlPort: 7000, AgentPort: 7003,
+		Node:          node,
+		Role:          role,
+		Zone:          zone,
+		Zones:         map[string]string{"a1": "a", "a2": "a", "b1": "b"},
+		Listen:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 10 + cluster.lastHost}), 0),
+		ControlPort:   7000,
+		AgentPort:     7003,
 		ProbeInterval: testProbeInterval,
 	}
 	if cluster.seed.IsValid() {
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -12,16 +12,26 @@
 
 // testRoute is a read-only route with three attempts.
 func testRoute() *configuration.Route {
-	return &configuration.Route{Name: "r", Type: configuration.ReadOnly, LatencyTarget: 200 * time.Millisecond, Timeout: time.Second,
-		MaxAttempts: 3}
+	return &configuration.Route{
+		Name:          "r",
+		Type:          configuration.ReadOnly,
+		LatencyTarget: 200 * time.Millisecond,
+		Timeout:       time.Second,
+		MaxAttempts:   3,
+	}
 }
 
 // testServices are an engine and a service of few slots.
 func testServices() []*configuration.Service {
 	return []*configuration.Service{
 		{Name: "api", MaxConnections: 100, SlowStartDuration: 3 * time.Second, SlowStartRate: 9},
-		{Name: "llm", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9,
-			Backend: &configuration.Backend{Capacity: 64, CacheTokens: 200000, TokensPerEvent: 4}},
+		{
+			Name:              "llm",
+			MaxConnections:    360,
+			SlowStartDuration: 3 * time.Second,
+			SlowStartRate:     9,
+			Backend:           &configuration.Backend{Capacity: 64, CacheTokens: 200000, TokensPerEvent: 4},
+		},
 	}
 }
 
@@ -32,8 +42,14 @@
 	var runners []Runner
 	for i := range n {
 		zone := zones[i%3]
-		runners = append(runners, Runner{ID: fmt.Sprintf("%s-%d", service, i), Service: service, Zone: zone,
-			Region: zoneRegions()[zone], Capacity: capacity, Models: []string{"base"}})
+		runners = append(runners, Runner{
+			ID:       fmt.Sprintf("%s-%d", service, i),
+			Service:  service,
+			Zone:     zone,
+			Region:   zoneRegions()[zone],
+			Capacity: capacity,
+			Models:   []string{"base"},
+		})
 	}
 	return runners
 }
@@ -495,10 +511,13 @@
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(o *Options){
-		"Zone": func(o *Options) { o.Zone = "" }, "Region": func(o *Options) { o.Region = "" },
-		"RetryRatio": func(o *Options) { o.RetryRatio = -1 }, "RetryWindow": func(o *Options) { o.RetryWindow = 0 },
-		"RetryExtra": func(o *Options) { o.RetryAllowance = -1 }, "ColdExcess": func(o *Options) { o.SlowStartFactor = -1 },
-		"ColdSlack": func(o *Options) { o.SlowStartAllowance = -1 },
+		"Zone":        func(o *Options) { o.Zone = "" },
+		"Region":      func(o *Options) { o.Region = "" },
+		"RetryRatio":  func(o *Options) { o.RetryRatio = -1 },
+		"RetryWindow": func(o *Options) { o.RetryWindow = 0 },
+		"RetryExtra":  func(o *Options) { o.RetryAllowance = -1 },
+		"ColdExcess":  func(o *Options) { o.SlowStartFactor = -1 },
+		"ColdSlack":   func(o *Options) { o.SlowStartAllowance = -1 },
 	} {
 		o := testOptions("m")
 		change(&o)
--- a/internal/system/placement/random_schedule_test.go
+++ b/internal/system/placement/random_schedule_test.go
@@ -80,10 +80,13 @@
 	n := rapid.IntRange(0, 8).Draw(t, "runners")
 	for i := range n {
 		zone := rapid.SampledFrom([]string{"m", "t", "p"}).Draw(t, "zone")
-		runner := Runner{ID: fmt.Sprintf("i-%d-%d", i, rapid.IntRange(0, 1).Draw(t, "incarnation")), Zone: zone,
+		runner := Runner{
+			ID:       fmt.Sprintf("i-%d-%d", i, rapid.IntRange(0, 1).Draw(t, "incarnation")),
+			Zone:     zone,
 			Region:   zoneRegions()[zone],
 			Service:  rapid.SampledFrom([]string{"api", "llm"}).Draw(t, "service"),
-			Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0}
+			Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0,
+		}
 		runner.Capacity = map[string]int{"api": 6, "llm": 64}[runner.Service]
 		switch rapid.IntRange(0, 5).Draw(t, "state") {
 		case 0:
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -37,8 +37,11 @@
 func (p *Placer) ensureService(name string) *serviceState {
 	service := p.services[name]
 	if service == nil {
-		service = &serviceState{Service: configuration.Service{Name: name}, prefillSpeed: p.restoredSpeeds[name],
-			latencyTarget: initialTarget}
+		service = &serviceState{
+			Service:       configuration.Service{Name: name},
+			prefillSpeed:  p.restoredSpeeds[name],
+			latencyTarget: initialTarget,
+		}
 		p.services[name] = service
 	}
 	return service
--- a/internal/system/placement/service_test.go
+++ b/internal/system/placement/service_test.go
@@ -12,8 +12,13 @@
 func TestLatencyTargetsOfServicesAreIndependent(t *testing.T) {
 	utilization := func(others ...*configuration.Route) float64 {
 		placer := startedTestPlacer(t, append(testRunners("llm", 3), testRunners("api", 3)...))
-		long := &configuration.Route{Name: "long", Type: configuration.Streaming, LatencyTarget: 800 * time.Millisecond,
-			Timeout: 5 * time.Second, MaxAttempts: 1}
+		long := &configuration.Route{
+			Name:          "long",
+			Type:          configuration.Streaming,
+			LatencyTarget: 800 * time.Millisecond,
+			Timeout:       5 * time.Second,
+			MaxAttempts:   1,
+		}
 		ask := func(service string, route *configuration.Route) {
 			r := testRequest(testStart, service, route)
 			if c, rejection := placer.Place(testStart, r); rejection == nil {
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -35,8 +35,14 @@
 
 // newProxyGroup draws a group of proxies; it begins long enough after its start for all to know each other.
 func newProxyGroup(t *rapid.T, runners []Runner) *proxyGroup {
-	group := &proxyGroup{t: t, now: testStart, services: testServices(), runners: runners, useKeys: rapid.Bool().Draw(t, "keys"),
-		slowStartSends: map[string][]time.Duration{}}
+	group := &proxyGroup{
+		t:              t,
+		now:            testStart,
+		services:       testServices(),
+		runners:        runners,
+		useKeys:        rapid.Bool().Draw(t, "keys"),
+		slowStartSends: map[string][]time.Duration{},
+	}
 	for range rapid.SampledFrom([]int{1, 2, 3, 7, 12, 24}).Draw(t, "proxies") {
 		group.join()
 	}
--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -84,10 +84,20 @@
 // newSimulation makes a deployment of two regions, with three zones, ten engines and seven proxies.
 func newSimulation(t testing.TB, seed uint64, load float64) *simulation {
 	t.Helper()
-	sim := &simulation{t: t, now: time.Second, random: rand.New(rand.NewPCG(seed, 5)), engines: map[string]*simulatedEngine{},
+	sim := &simulation{
+		t:                 t,
+		now:               time.Second,
+		random:            rand.New(rand.NewPCG(seed, 5)),
+		engines:           map[string]*simulatedEngine{},
 		prefilledPrefixes: map[uint64]bool{},
-		service: configuration.Service{Name: "llm", MaxConnections: 360, SlowStartDuration: 3 * time.Second, SlowStartRate: 9.2,
-			Backend: &configuration.Backend{Capacity: 64, CacheTokens: 230413, TokensPerEvent: 4}}}
+		service: configuration.Service{
+			Name:              "llm",
+			MaxConnections:    360,
+			SlowStartDuration: 3 * time.Second,
+			SlowStartRate:     9.2,
+			Backend:           &configuration.Backend{Capacity: 64, CacheTokens: 230413, TokensPerEvent: 4},
+		},
+	}
 	zones := []string{"m", "m", "m", "p", "p", "p", "p", "t", "t", "t"}
 	for i, zone := range zones {
 		id := fmt.Sprintf("i-%d-%d", seed, i)
@@ -119,8 +129,16 @@
 }
 
 func testOptions(zone string) Options {
-	return Options{Zone: zone, Region: zoneRegions()[zone], Zones: zoneRegions(), RetryRatio: 0.2,
-		RetryWindow: 10 * time.Second, RetryAllowance: 54, SlowStartFactor: 1.5, SlowStartAllowance: 5}
+	return Options{
+		Zone:               zone,
+		Region:             zoneRegions()[zone],
+		Zones:              zoneRegions(),
+		RetryRatio:         0.2,
+		RetryWindow:        10 * time.Second,
+		RetryAllowance:     54,
+		SlowStartFactor:    1.5,
+		SlowStartAllowance: 5,
+	}
 }
 
 func newTestPlacer(t testing.TB, zone string, seed uint64) *Placer {
@@ -136,9 +154,16 @@
 func (sim *simulation) kind(name string, rank, target int, rate float64, things []int, tokens []float64,
 	own, spread, out float64) *requestKind {
 	kind := &requestKind{rate: rate, uniqueTokens: own, spread: spread, outputTokens: out}
-	kind.route = configuration.Route{Name: name,
-		LatencyTarget: time.Duration(target) * time.Millisecond, Timeout: 5 * time.Second, Rank: rank, Type: configuration.Streaming,
-		EventGapTarget: 400 * time.Millisecond, PrefixAffinity: true, MaxAttempts: 2}
+	kind.route = configuration.Route{
+		Name:           name,
+		LatencyTarget:  time.Duration(target) * time.Millisecond,
+		Timeout:        5 * time.Second,
+		Rank:           rank,
+		Type:           configuration.Streaming,
+		EventGapTarget: 400 * time.Millisecond,
+		PrefixAffinity: true,
+		MaxAttempts:    2,
+	}
 	var firsts []Chunk
 	for range things[0] {
 		firsts = append(firsts, Chunk{sim.random.Uint64(), sim.drawTokens(tokens[0], 0.4)})
--- a/internal/system/policysim/attempt.go
+++ b/internal/system/policysim/attempt.go
@@ -17,8 +17,15 @@
 		return
 	}
 	runner := sim.runnerByID(choice.Runner)
-	a := &attempt{sim: sim, state: state, request: state.request, priority: choice.Priority, runner: runner,
-		sentAt: sim.now, lastEventAt: sim.now}
+	a := &attempt{
+		sim:         sim,
+		state:       state,
+		request:     state.request,
+		priority:    choice.Priority,
+		runner:      runner,
+		sentAt:      sim.now,
+		lastEventAt: sim.now,
+	}
 	if a.priority < 0 {
 		a.priority = engine.DefaultPriority
 	}
@@ -41,8 +48,13 @@
 // engineRequest returns the work for the engine. Events that the client has already received are not generated again.
 func (a *attempt) engineRequest() *engine.Request {
 	call := a.state.call
-	r := &engine.Request{Model: a.request.Model, OutputTokens: call.OutputTokens, Work: call.Work, Priority: a.priority,
-		Deadline: a.request.Deadline}
+	r := &engine.Request{
+		Model:        a.request.Model,
+		OutputTokens: call.OutputTokens,
+		Work:         call.Work,
+		Priority:     a.priority,
+		Deadline:     a.request.Deadline,
+	}
 	for _, chunk := range call.Chunks {
 		r.Chunks = append(r.Chunks, engine.Chunk{ID: chunk.ID, Tokens: chunk.Tokens})
 	}
--- a/internal/system/policysim/baselines.go
+++ b/internal/system/policysim/baselines.go
@@ -24,8 +24,12 @@
 
 func newBaselineFactory(name string, pick picker) PolicyFactory {
 	return PolicyFactory{Name: name, New: func(o placement.Options, seed uint64) (Policy, error) {
-		return &baseline{options: o, pick: pick, random: rand.New(rand.NewPCG(seed, 2)),
-			inFlight: make(map[string]int)}, nil
+		return &baseline{
+			options:  o,
+			pick:     pick,
+			random:   rand.New(rand.NewPCG(seed, 2)),
+			inFlight: make(map[string]int),
+		}, nil
 	}}
 }
 
--- a/internal/system/policysim/client.go
+++ b/internal/system/policysim/client.go
@@ -69,9 +69,15 @@
 		model = modelName
 	}
 	state.request = &placement.Request{
-		Route: sim.routes[c.Class.Name], Service: c.Class.Service, Model: model, Chunks: c.Chunks,
-		InputTokens: c.PromptTokens(), MaxOutputTokens: c.OutputTokens, BodyBytes: bytesPerToken * c.PromptTokens(),
-		ArrivedAt: sim.now, Deadline: sim.deadline(state),
+		Route:           sim.routes[c.Class.Name],
+		Service:         c.Class.Service,
+		Model:           model,
+		Chunks:          c.Chunks,
+		InputTokens:     c.PromptTokens(),
+		MaxOutputTokens: c.OutputTokens,
+		BodyBytes:       bytesPerToken * c.PromptTokens(),
+		ArrivedAt:       sim.now,
+		Deadline:        sim.deadline(state),
 	}
 	sim.dispatch(state)
 }
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -54,10 +54,16 @@
 }
 
 func (sim *simulation) result(policy string) *Result {
-	result := &Result{Policy: policy, SharedPrefilled: sim.counters.sharedPrefilled,
-		SharedPrefilledAgain: sim.counters.sharedPrefilledAgain, OwnPrefilled: sim.counters.ownPrefilled,
-		Attempts: sim.counters.attempts, Retries: sim.counters.retries, CrossRegionAttempts: sim.counters.crossRegion,
-		Rejections: sim.counters.rejections}
+	result := &Result{
+		Policy:               policy,
+		SharedPrefilled:      sim.counters.sharedPrefilled,
+		SharedPrefilledAgain: sim.counters.sharedPrefilledAgain,
+		OwnPrefilled:         sim.counters.ownPrefilled,
+		Attempts:             sim.counters.attempts,
+		Retries:              sim.counters.retries,
+		CrossRegionAttempts:  sim.counters.crossRegion,
+		Rejections:           sim.counters.rejections,
+	}
 	for _, runner := range sim.runners {
 		state := runner.engine.State()
 		result.Preemptions += state.Preemptions
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -105,9 +105,14 @@
 		for range zone.Proxies {
 			seed += seedStep
 			policy, err := factory.New(placement.Options{
-				Zone: zone.Name, Region: zone.Region, Zones: zones,
-				RetryRatio: retryRatio, RetryWindow: retryWindow, RetryAllowance: retryAllowance,
-				SlowStartFactor: slowStartFactor, SlowStartAllowance: slowStartAllowance,
+				Zone:               zone.Name,
+				Region:             zone.Region,
+				Zones:              zones,
+				RetryRatio:         retryRatio,
+				RetryWindow:        retryWindow,
+				RetryAllowance:     retryAllowance,
+				SlowStartFactor:    slowStartFactor,
+				SlowStartAllowance: slowStartAllowance,
 			}, seed)
 			if err != nil {
 				return err
@@ -129,21 +134,39 @@
 	for i := range sim.scenario.Classes {
 		c := &sim.scenario.Classes[i]
 		sim.routes[c.Name] = &configuration.Route{
-			Name: c.Name, Host: "screening.example", PathPrefix: "/" + c.Name + "/", Type: c.Type, Rank: c.Rank,
-			Timeout: c.Deadline, LatencyTarget: c.LatencyTarget, EventGapTarget: c.EventGapTarget,
-			Shares:      []configuration.Share{{Service: c.Service, Weight: 1}},
-			MaxAttempts: c.MaxAttempts, Resumable: c.Resumable,
-			PrefixAffinity: c.Type == configuration.Streaming, HomeRegions: c.HomeRegions,
+			Name:           c.Name,
+			Host:           "screening.example",
+			PathPrefix:     "/" + c.Name + "/",
+			Type:           c.Type,
+			Rank:           c.Rank,
+			Timeout:        c.Deadline,
+			LatencyTarget:  c.LatencyTarget,
+			EventGapTarget: c.EventGapTarget,
+			Shares:         []configuration.Share{{Service: c.Service, Weight: 1}},
+			MaxAttempts:    c.MaxAttempts,
+			Resumable:      c.Resumable,
+			PrefixAffinity: c.Type == configuration.Streaming,
+			HomeRegions:    c.HomeRegions,
 		}
 	}
 	for i := range sim.scenario.Services {
 		s := &sim.scenario.Services[i]
-		service := &configuration.Service{Name: s.Name, HealthPath: "/health", MaxConnections: s.MaxConnections,
-			SlowStartDuration: s.SlowStartDuration, SlowStartRate: s.SlowStartRate}
+		service := &configuration.Service{
+			Name:              s.Name,
+			HealthPath:        "/health",
+			MaxConnections:    s.MaxConnections,
+			SlowStartDuration: s.SlowStartDuration,
+			SlowStartRate:     s.SlowStartRate,
+		}
 		if s.Engine != nil {
-			service.Backend = &configuration.Backend{Capacity: s.Engine.MaxRunning, CacheTokens: s.Engine.MemoryTokens,
-				CacheBytesPerToken: cacheBytesPerToken, LinkMbps: linkMbps, TokensPerEvent: s.Engine.EventTokens,
-				Models: []string{modelName}}
+			service.Backend = &configuration.Backend{
+				Capacity:           s.Engine.MaxRunning,
+				CacheTokens:        s.Engine.MemoryTokens,
+				CacheBytesPerToken: cacheBytesPerToken,
+				LinkMbps:           linkMbps,
+				TokensPerEvent:     s.Engine.EventTokens,
+				Models:             []string{modelName},
+			}
 		}
 		sim.services = append(sim.services, service)
 	}
@@ -170,14 +193,28 @@
 // startRunner starts a new incarnation of a runner.
 func (sim *simulation) startRunner(service *Service, zone string) (*simulatedRunner, error) {
 	sim.incarnations++
-	runner := &simulatedRunner{sim: sim, up: true, listed: true, service: service,
-		attempts: make(map[*engine.Task]*attempt)}
-	runner.slowStart = engine.SlowStart{Rate: service.SlowStartRate, MaxMultiple: slowStartFactor, Allowance: slowStartAllowance,
-		CrashMultiple: slowStartFailureFactor}
-	runner.info = placement.Runner{ID: fmt.Sprintf("i-%04x", sim.incarnations), Service: service.Name, Zone: zone,
+	runner := &simulatedRunner{
+		sim:      sim,
+		up:       true,
+		listed:   true,
+		service:  service,
+		attempts: make(map[*engine.Task]*attempt),
+	}
+	runner.slowStart = engine.SlowStart{
+		Rate:          service.SlowStartRate,
+		MaxMultiple:   slowStartFactor,
+		Allowance:     slowStartAllowance,
+		CrashMultiple: slowStartFailureFactor,
+	}
+	runner.info = placement.Runner{
+		ID:      fmt.Sprintf("i-%04x", sim.incarnations),
+		Service: service.Name,
+		Zone:    zone,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(sim.incarnations >> 8),
 			byte(sim.incarnations)}), 8080),
-		Region: sim.scenario.regionOf(zone), Capacity: service.Slots}
+		Region:   sim.scenario.regionOf(zone),
+		Capacity: service.Slots,
+	}
 	var err error
 	if service.Engine != nil {
 		runner.info.Capacity = service.Engine.MaxRunning
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -85,8 +85,12 @@
 	state := newFeedState(c.options.RunnerPartitions)
 	pause := minRetryBackoff
 	for ctx.Err() == nil {
-		request := &feed.FollowRequest{Node: c.options.Node, Positions: state.positions(), Wait: maxFollowWait,
-			Peers: state.peersDigest}
+		request := &feed.FollowRequest{
+			Node:      c.options.Node,
+			Positions: state.positions(),
+			Wait:      maxFollowWait,
+			Peers:     state.peersDigest,
+		}
 		reply, err := followCall.LongPoll(ctx, c.client, maxFollowWait, request)
 		if err != nil {
 			c.log.Debug("agent gave no feed", zap.Error(err))
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -29,8 +29,12 @@
 }
 
 func newFakeAgent(t *testing.T) *fakeAgent {
-	return &fakeAgent{t: t, replies: make(chan *feed.FollowReply, 10), requests: make(chan *feed.FollowRequest, 10),
-		reports: make(chan *feed.ProxyReport, 100)}
+	return &fakeAgent{
+		t:        t,
+		replies:  make(chan *feed.FollowReply, 10),
+		requests: make(chan *feed.FollowRequest, 10),
+		reports:  make(chan *feed.ProxyReport, 100),
+	}
 }
 
 // serve serves at the address until the returned function is called.
@@ -81,8 +85,13 @@
 
 func startClient(t *testing.T, address netip.AddrPort) (*Client, chan Update, chan []byte) {
 	updates, recalled := make(chan Update, 10), make(chan []byte, 1)
-	link := New(zap.NewNop(), Options{AgentAddr: address, Node: "n", RunnerPartitions: 2,
-		OnUpdate: func(update Update) { updates <- update }, OnSnapshot: func(b []byte) { recalled <- b }})
+	link := New(zap.NewNop(), Options{
+		AgentAddr:        address,
+		Node:             "n",
+		RunnerPartitions: 2,
+		OnUpdate:         func(update Update) { updates <- update },
+		OnSnapshot:       func(b []byte) { recalled <- b },
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { link.Run(ctx) })
@@ -101,8 +110,11 @@
 }
 
 func serviceItem(name string, index uint64) feed.Item {
-	return feed.Item{Key: feed.KeyPrefixService + name, Index: index, Value: storedValue(1,
-		`{"name":"`+name+`","health_path":"/health","max_conns":10}`)}
+	return feed.Item{
+		Key:   feed.KeyPrefixService + name,
+		Index: index,
+		Value: storedValue(1, `{"name":"`+name+`","health_path":"/health","max_conns":10}`),
+	}
 }
 
 func versionItem(n string, index uint64) feed.Item {
@@ -126,24 +138,45 @@
 	if request := receive(t, agent.requests); len(request.Positions) != 3 || request.Positions[0].Index != 0 || request.Node != "n" {
 		t.Errorf("first request is %+v", request)
 	}
-	runner := discovery.Runner{ID: "i", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Zone: "z",
-		Capacity: 4, SlowStartRemaining: 5 * time.Second}
+	runner := discovery.Runner{
+		ID:                 "i",
+		Service:            "s",
+		Address:            netip.MustParseAddrPort("10.0.0.1:80"),
+		Zone:               "z",
+		Capacity:           4,
+		SlowStartRemaining: 5 * time.Second,
+	}
 	agent.replies <- &feed.FollowReply{
 		Proxies:     3,
 		Peers:       []feed.Peer{{Node: "p", Zone: "z"}},
 		PeersDigest: 5,
 		Batches: []feed.Batch{
-			{Partition: 0, Snapshot: true, To: 10, Items: []feed.Item{
-				versionItem("7", 9),
-				routeItem("a", "s", 5),
-				routeItem("b", "s", 9),
-				serviceItem(serviceInSecondPartition, 4),
-				{Key: feed.KeyPrefixEvacuation + "z9", Index: 3},
-				{Key: feed.KeyPrefixRoute + "bad", Index: 6, Value: storedValue(1, `{"name":1}`)},
-			}},
-			{Partition: 1, Snapshot: true, To: 4, Items: []feed.Item{
-				{Key: feed.KeyPrefixRunner + "i", Index: 4, Value: discovery.EncodeRunner(runner), Age: time.Second},
-			}},
+			{
+				Partition: 0,
+				Snapshot:  true,
+				To:        10,
+				Items: []feed.Item{
+					versionItem("7", 9),
+					routeItem("a", "s", 5),
+					routeItem("b", "s", 9),
+					serviceItem(serviceInSecondPartition, 4),
+					{Key: feed.KeyPrefixEvacuation + "z9", Index: 3},
+					{Key: feed.KeyPrefixRoute + "bad", Index: 6, Value: storedValue(1, `{"name":1}`)},
+				},
+			},
+			{
+				Partition: 1,
+				Snapshot:  true,
+				To:        4,
+				Items: []feed.Item{
+					{
+						Key:   feed.KeyPrefixRunner + "i",
+						Index: 4,
+						Value: discovery.EncodeRunner(runner),
+						Age:   time.Second,
+					},
+				},
+			},
 		},
 	}
 	update := receive(t, updates)
@@ -161,10 +194,15 @@
 		t.Errorf("next request is %+v", request)
 	}
 	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{
-		{Partition: 0, From: 10, To: 12, Items: []feed.Item{
-			versionItem("8", 12),
-			{Key: feed.KeyPrefixRoute + "a", Index: 11, Deleted: true},
-		}},
+		{
+			Partition: 0,
+			From:      10,
+			To:        12,
+			Items: []feed.Item{
+				versionItem("8", 12),
+				{Key: feed.KeyPrefixRoute + "a", Index: 11, Deleted: true},
+			},
+		},
 		{Partition: 2, Snapshot: true, To: 1},
 	}}
 	update = receive(t, updates)
@@ -174,8 +212,12 @@
 	}
 	receive(t, agent.requests)
 	stop()
-	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{
-		{Partition: 0, Snapshot: true, To: 11, Items: []feed.Item{versionItem("7", 9), routeItem("a", "s", 5)}}}}
+	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{{
+		Partition: 0,
+		Snapshot:  true,
+		To:        11,
+		Items:     []feed.Item{versionItem("7", 9), routeItem("a", "s", 5)},
+	}}}
 	agent.serve(address.String())
 	if request := receive(t, agent.requests); request.Positions[0].Index != 12 {
 		t.Errorf("request to the restarted agent is %+v", request)
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -19,14 +19,27 @@
 		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
 	}
 	ordinal := "\x00\x00\x00\x00\x00\x00\x00\x01"
-	runner := discovery.Runner{ID: "r-1", Service: "s", Address: netip.MustParseAddrPort("10.0.0.1:80"), Capacity: 3}
+	runner := discovery.Runner{
+		ID:       "r-1",
+		Service:  "s",
+		Address:  netip.MustParseAddrPort("10.0.0.1:80"),
+		Capacity: 3,
+	}
 	items := []feed.Item{
 		{Key: "evacuation/east-a", Index: 1, Value: []byte{}},
 		{Key: "limits", Index: 2, Value: []byte(`{"max_header_bytes":1,"max_body_bytes":2,"header_wait_ms":3,"idle_limit_ms":4}`)},
-		{Key: "route/r", Index: 3, Value: []byte(ordinal + `{"name":"r","host":"h","path_start":"/p/","type":"read_only",` +
-			`"timeout_ms":1000,"target_ms":100,"rank":0,"service":"s","tries":2}`)},
-		{Key: "service/s", Index: 4, Value: []byte(ordinal + `{"name":"s","health_path":"/health",` +
-			`"max_conns":4,"cold_for_s":0,"cold_rate_s":0}`)},
+		{
+			Key:   "route/r",
+			Index: 3,
+			Value: []byte(ordinal + `{"name":"r","host":"h","path_start":"/p/","type":"read_only",` +
+				`"timeout_ms":1000,"target_ms":100,"rank":0,"service":"s","tries":2}`),
+		},
+		{
+			Key:   "service/s",
+			Index: 4,
+			Value: []byte(ordinal + `{"name":"s","health_path":"/health",` +
+				`"max_conns":4,"cold_for_s":0,"cold_rate_s":0}`),
+		},
 		{Key: "version", Index: 5, Value: []byte("7")},
 	}
 	partition := feed.PartitionOf("s", feed.RunnerPartitionCount)
@@ -40,9 +53,14 @@
 		Peers:       []feed.Peer{{Node: "edge-2"}},
 		Batches: []feed.Batch{
 			{Partition: 0, Snapshot: true, To: 5, Items: items},
-			{Partition: partition, Snapshot: true, To: 1, Items: []feed.Item{
-				{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)},
-			}},
+			{
+				Partition: partition,
+				Snapshot:  true,
+				To:        1,
+				Items: []feed.Item{
+					{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)},
+				},
+			},
 		},
 	})
 	s.fillSets(&got)
--- a/internal/system/proxy/agentclient/feed_state.go
+++ b/internal/system/proxy/agentclient/feed_state.go
@@ -23,8 +23,12 @@
 }
 
 func newFeedState(runnerPartitions int) *feedState {
-	s := &feedState{startedAt: time.Now(), services: map[string]*configuration.Service{}, evacuatedZones: map[string]bool{},
-		runners: map[string]Runner{}}
+	s := &feedState{
+		startedAt:      time.Now(),
+		services:       map[string]*configuration.Service{},
+		evacuatedZones: map[string]bool{},
+		runners:        map[string]Runner{},
+	}
 	for partition := range feed.Partition(1 + runnerPartitions) {
 		s.tables = append(s.tables, feed.NewTable(partition))
 	}
--- a/internal/system/proxy/chaos_test.go
+++ b/internal/system/proxy/chaos_test.go
@@ -203,7 +203,12 @@
 			var all sync.WaitGroup
 			for i := range clients {
 				all.Go(func() {
-					c := &chaosClient{t: t, harness: h, ran: ran, random: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+					c := &chaosClient{
+						t:       t,
+						harness: h,
+						ran:     ran,
+						random:  rand.New(rand.NewPCG(seed, uint64(100+i))),
+					}
 					for n := range requests {
 						c.sendRandom(fmt.Sprintf("%d-%d", i, n))
 					}
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -102,9 +102,15 @@
 }
 
 func (p *Proxy) placementRunner(now time.Duration, listed *agentclient.Runner) placement.Runner {
-	known := placement.Runner{ID: listed.ID, Service: listed.Service, Address: listed.Address, Zone: listed.Zone,
+	known := placement.Runner{
+		ID:       listed.ID,
+		Service:  listed.Service,
+		Address:  listed.Address,
+		Zone:     listed.Zone,
 		Region:   p.control.zones[listed.Zone],
-		Capacity: listed.Capacity, Draining: listed.Draining}
+		Capacity: listed.Capacity,
+		Draining: listed.Draining,
+	}
 	if !listed.SlowStartUntil.IsZero() {
 		known.SlowStartUntil = max(0, now+time.Until(listed.SlowStartUntil))
 	}
@@ -144,6 +150,11 @@
 	if p.control.agent == nil {
 		return
 	}
-	report := feed.ProxyReport{Ready: p.Ready(), Stopping: p.shutdown.active, Front: p.options.FrontAddr.String(), Learnt: learnt}
+	report := feed.ProxyReport{
+		Ready:    p.Ready(),
+		Stopping: p.shutdown.active,
+		Front:    p.options.FrontAddr.String(),
+		Learnt:   learnt,
+	}
 	p.control.agent.Report(report)
 }
--- a/internal/system/proxy/control_state_test.go
+++ b/internal/system/proxy/control_state_test.go
@@ -33,16 +33,28 @@
 	client.expectResponse(503, "")
 	one, two := route("one", configuration.ReadWrite), route("two", configuration.ReadWrite)
 	address := netip.MustParseAddrPort(runner.listener.Addr().String())
-	runners := []agentclient.Runner{{Runner: discovery.Runner{ID: "a", Service: "s", Address: address, Zone: "z",
-		SlowStartRemaining: time.Second},
-		SlowStartUntil: time.Now().Add(time.Hour)}}
+	runners := []agentclient.Runner{{
+		Runner: discovery.Runner{
+			ID:                 "a",
+			Service:            "s",
+			Address:            address,
+			Zone:               "z",
+			SlowStartRemaining: time.Second,
+		},
+		SlowStartUntil: time.Now().Add(time.Hour),
+	}}
 	h.onLoop(func() {
 		if h.proxy.Ready() || agent.last().Ready {
 			t.Error("ready without a configuration")
 		}
-		h.proxy.ApplyUpdate(agentclient.Update{Version: 3, Routes: []*configuration.Route{one, two},
-			Services: &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
-			Runners:  &runners, ProxyCount: 2, Complete: true})
+		h.proxy.ApplyUpdate(agentclient.Update{
+			Version:    3,
+			Routes:     []*configuration.Route{one, two},
+			Services:   &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
+			Runners:    &runners,
+			ProxyCount: 2,
+			Complete:   true,
+		})
 		if !h.proxy.Ready() || !agent.last().Ready || agent.last().Stopping {
 			t.Error("not ready with all that is needed")
 		}
--- a/internal/system/proxy/fake_placer_test.go
+++ b/internal/system/proxy/fake_placer_test.go
@@ -23,9 +23,16 @@
 }
 
 func route(name string, kind configuration.RouteType) *configuration.Route {
-	return &configuration.Route{Name: name, Host: "h.example", PathPrefix: "/" + name + "/", Type: kind,
+	return &configuration.Route{
+		Name:          name,
+		Host:          "h.example",
+		PathPrefix:    "/" + name + "/",
+		Type:          kind,
 		Timeout:       20 * time.Second,
-		LatencyTarget: time.Second, MaxAttempts: 3, Shares: []configuration.Share{{Service: "s", Weight: 1}}}
+		LatencyTarget: time.Second,
+		MaxAttempts:   3,
+		Shares:        []configuration.Share{{Service: "s", Weight: 1}},
+	}
 }
 
 // fakePlacer chooses the first runner that was not tried. It belongs to the loop's goroutine.
--- a/internal/system/proxy/harness_test.go
+++ b/internal/system/proxy/harness_test.go
@@ -41,8 +41,12 @@
 	}
 	resumable := route("resumable", configuration.Streaming)
 	resumable.Resumable = true
-	h := &harness{t: t, loop: loop, placer: &fakePlacer{outcomes: make(chan string, 100), sent: make(chan string, 100)},
-		done: make(chan struct{})}
+	h := &harness{
+		t:      t,
+		loop:   loop,
+		placer: &fakePlacer{outcomes: make(chan string, 100), sent: make(chan string, 100)},
+		done:   make(chan struct{}),
+	}
 	h.routes = &fakeRoutes{[]*configuration.Route{route("reads", configuration.ReadOnly), route("writes",
 		configuration.ReadWrite),
 		route("stream", configuration.Streaming), resumable}}
@@ -103,8 +107,11 @@
 		r.listener = listener.(*net.TCPListener)
 		h.t.Cleanup(func() { listener.Close() })
 		all = append(all, r)
-		listed = append(listed, placement.Runner{ID: name, Service: "s",
-			Address: netip.MustParseAddrPort(listener.Addr().String())})
+		listed = append(listed, placement.Runner{
+			ID:      name,
+			Service: "s",
+			Address: netip.MustParseAddrPort(listener.Addr().String()),
+		})
 	}
 	h.onLoop(func() {
 		h.placer.runners = listed
--- a/internal/system/proxy/notice_test.go
+++ b/internal/system/proxy/notice_test.go
@@ -41,13 +41,20 @@
 		{name: "kind that no proxy sends, relayed", datagram: datagram(noticeRelayFlag|0x7f, 1)},
 		{name: "prefill without tokens", datagram: datagram(prefill)},
 		{name: "tokens cut short", datagram: datagram(prefill, 0x80)},
-		{name: "most tokens", datagram: datagram(prefill, 0xff, 0xff, 0xff, 0x07),
-			notice: placement.Notice{Kind: placement.NoticePrefill, RunnerKey: key, Tokens: maxNoticeTokens}},
+		{
+			name:     "most tokens",
+			datagram: datagram(prefill, 0xff, 0xff, 0xff, 0x07),
+			notice:   placement.Notice{Kind: placement.NoticePrefill, RunnerKey: key, Tokens: maxNoticeTokens},
+		},
 		{name: "too many tokens", datagram: datagram(prefill, 0x80, 0x80, 0x80, 0x08)},
 		{name: "tokens beyond 64 bits", datagram: datagram(prefill, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 1)},
 		{name: "byte after the tokens", datagram: datagram(prefill, 1, 0)},
-		{name: "tokens longer than need be, relayed", datagram: datagram(noticeRelayFlag|prefill, 0x81, 0x00), relayed: true,
-			notice: placement.Notice{Kind: placement.NoticePrefill, RunnerKey: key, Tokens: 1}},
+		{
+			name:     "tokens longer than need be, relayed",
+			datagram: datagram(noticeRelayFlag|prefill, 0x81, 0x00),
+			relayed:  true,
+			notice:   placement.Notice{Kind: placement.NoticePrefill, RunnerKey: key, Tokens: 1},
+		},
 	} {
 		notice, relayed, ok := parseNotice(test.datagram)
 		if ok != (test.notice != placement.Notice{}) {
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -39,7 +39,12 @@
 
 func newPeerNotifier(p *Proxy) *peerNotifier {
 	random := rand.New(rand.NewPCG(p.options.Seed, relaySeedStream))
-	return &peerNotifier{proxy: p, random: random, otherZones: map[string][]netip.AddrPort{}, refilledAt: p.loop.Now() - noticeBurstSeconds}
+	return &peerNotifier{
+		proxy:      p,
+		random:     random,
+		otherZones: map[string][]netip.AddrPort{},
+		refilledAt: p.loop.Now() - noticeBurstSeconds,
+	}
 }
 
 // listen opens the socket. The proxy serves without it if that fails.
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -31,8 +31,13 @@
 }
 
 func newPool(p *Proxy) *pool {
-	return &pool{proxy: p, runners: map[string]*runner{}, services: map[string]*configuration.Service{},
-		idleTimeouts: map[string]*idleTimeoutEstimator{}, proxyCount: defaultProxies}
+	return &pool{
+		proxy:        p,
+		runners:      map[string]*runner{},
+		services:     map[string]*configuration.Service{},
+		idleTimeouts: map[string]*idleTimeoutEstimator{},
+		proxyCount:   defaultProxies,
+	}
 }
 
 // setServices replaces the services.
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -20,8 +20,14 @@
 	if request.Method != "POST" || request.RequestURI != "/writes/x?q=1" || request.Host != "h.example" || body != "the body" {
 		t.Errorf("runner got %s %s of %s with %q", request.Method, request.RequestURI, request.Host, body)
 	}
-	for name, want := range map[string]string{"X-Try-Id": "t1", "X-Other": "v", "X-Hop": "", "X-Wanted-Server": "a",
-		"Priority": "", "Connection": ""} {
+	for name, want := range map[string]string{
+		"X-Try-Id":        "t1",
+		"X-Other":         "v",
+		"X-Hop":           "",
+		"X-Wanted-Server": "a",
+		"Priority":        "",
+		"Connection":      "",
+	} {
 		if got := request.Header.Get(name); got != want || len(request.Header.Values(name)) > 1 {
 			t.Errorf("runner got %s: %q, want %q", name, request.Header.Values(name), want)
 		}
--- a/internal/system/proxy/shutdown_simulation_test.go
+++ b/internal/system/proxy/shutdown_simulation_test.go
@@ -94,7 +94,12 @@
 
 func newShutdownSimulation(seed uint64, grace time.Duration) *shutdownSimulation {
 	random := rand.New(rand.NewPCG(seed, uint64(grace)))
-	sim := &shutdownSimulation{random: random, network: newSimulatedNetwork(random), grace: grace, forwarded: map[string]bool{}}
+	sim := &shutdownSimulation{
+		random:    random,
+		network:   newSimulatedNetwork(random),
+		grace:     grace,
+		forwarded: map[string]bool{},
+	}
 	loop := eventloop.NewLoopWithSystem(sim.network, 1000)
 	loop.ZeroCopyReads = true
 	placer := &fakePlacer{spread: true}
@@ -117,8 +122,11 @@
 		return err
 	}
 	for range shutdownClients {
-		c := &shutdownClient{simulation: sim, peer: &simulatedPeer{latency: shutdownLatency},
-			learnsAt: signalAt + sim.randomDuration(longestLookupCache)}
+		c := &shutdownClient{
+			simulation: sim,
+			peer:       &simulatedPeer{latency: shutdownLatency},
+			learnsAt:   signalAt + sim.randomDuration(longestLookupCache),
+		}
 		sim.network.after(sim.randomDuration(signalAt), c.sendNext)
 	}
 	sim.network.at(signalAt, sim.proxy.Stop)
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -9,8 +9,11 @@
 )
 
 // manualPlan keeps the steps of a shutdown from running by themselves: the test runs them.
-var manualPlan = shutdownPlan{sweepIdle: time.Hour, closeListener: time.Hour,
-	Schedule: shutdown.Schedule{LastResponses: time.Hour, ProxyEnd: time.Hour}}
+var manualPlan = shutdownPlan{
+	sweepIdle:     time.Hour,
+	closeListener: time.Hour,
+	Schedule:      shutdown.Schedule{LastResponses: time.Hour, ProxyEnd: time.Hour},
+}
 
 // A proxy that has got the shutdown signal serves what still arrives and exits afterwards.
 func TestShutdownDrains(t *testing.T) {
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -73,9 +73,16 @@
 	sim := c.sim
 	now := sim.network.now
 	kind := []string{"reads", "writes", "stream", "resumable"}[sim.random.IntN(4)]
-	request := &simulatedRequest{id: fmt.Sprintf("c%d-%d", c.index, c.requestCount), method: "POST", kind: kind, sentAt: now,
-		target: "/" + kind + "/x?q=" + strconv.Itoa(c.requestCount), routeEnd: now + simulationRouteTimeout,
-		version: "HTTP/1.1", deadline: now + 250*time.Millisecond + sim.randomDuration(3*time.Second)}
+	request := &simulatedRequest{
+		id:       fmt.Sprintf("c%d-%d", c.index, c.requestCount),
+		method:   "POST",
+		kind:     kind,
+		sentAt:   now,
+		target:   "/" + kind + "/x?q=" + strconv.Itoa(c.requestCount),
+		routeEnd: now + simulationRouteTimeout,
+		version:  "HTTP/1.1",
+		deadline: now + 250*time.Millisecond + sim.randomDuration(3*time.Second),
+	}
 	switch sim.random.IntN(6) {
 	case 0:
 		request.body = strings.Repeat(request.id+";", 150<<10/(len(request.id)+1))
--- a/internal/system/proxy/simulation_network_test.go
+++ b/internal/system/proxy/simulation_network_test.go
@@ -101,8 +101,13 @@
 }
 
 func newSimulatedNetwork(random *rand.Rand) *simulatedNetwork {
-	return &simulatedNetwork{random: random, sockets: map[int]*simulatedSocket{}, descriptor: firstDescriptor,
-		listening: map[netip.AddrPort]*simulatedSocket{}, peers: map[netip.AddrPort]*simulatedPeer{}}
+	return &simulatedNetwork{
+		random:     random,
+		sockets:    map[int]*simulatedSocket{},
+		descriptor: firstDescriptor,
+		listening:  map[netip.AddrPort]*simulatedSocket{},
+		peers:      map[netip.AddrPort]*simulatedPeer{},
+	}
 }
 
 // after schedules an action.
--- a/internal/system/startup/startup_test.go
+++ b/internal/system/startup/startup_test.go
@@ -8,8 +8,13 @@
 )
 
 func exampleProgram() *Program {
-	return &Program{Name: "cinderroad-example", Description: "An example.", Version: "example 7",
-		LogLevel: zapcore.WarnLevel, GCPercent: 100}
+	return &Program{
+		Name:        "cinderroad-example",
+		Description: "An example.",
+		Version:     "example 7",
+		LogLevel:    zapcore.WarnLevel,
+		GCPercent:   100,
+	}
 }
 
 func TestLogLevelFlag(t *testing.T) {
