--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -222,13 +222,13 @@
 func (e *emulation) verifyConfiguration(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	got, err := e.operator.readConfiguration(ctx)
+	stored, err := e.operator.readConfiguration(ctx)
 	switch {
 	case err != nil:
 		e.checker.Report(checker.ConfigurationMismatch, "the configuration could not be read back: %v", err)
-	case got.Version != e.inForce.Version || len(got.Routes) != len(e.inForce.Routes):
+	case stored.Version != e.inForce.Version || len(stored.Routes) != len(e.inForce.Routes):
 		e.checker.Report(checker.ConfigurationMismatch, "version %d with %d routes was read back, %d with %d was acknowledged",
-			got.Version, len(got.Routes), e.inForce.Version, len(e.inForce.Routes))
+			stored.Version, len(stored.Routes), e.inForce.Version, len(e.inForce.Routes))
 	}
 }
 
--- a/internal/system/policysim/runner.go
+++ b/internal/system/policysim/runner.go
@@ -71,8 +71,8 @@
 	for _, event := range r.engine.Advance(r.sim.now) {
 		r.handleEvent(event)
 	}
-	next, is := r.engine.Next()
-	if !is || r.nextWakeup != 0 && r.nextWakeup <= next {
+	next, pending := r.engine.Next()
+	if !pending || r.nextWakeup != 0 && r.nextWakeup <= next {
 		return
 	}
 	r.nextWakeup = next
--- a/internal/system/policysim/scenarios.go
+++ b/internal/system/policysim/scenarios.go
@@ -48,7 +48,12 @@
 				MaxConnections: 100,
 			},
 		},
-		Classes: classes([4]float64{9.78, 13.9, 11.6, 8.79}, 15, milliseconds(200), time.Second),
+		Classes: []Class{
+			reviewClass(9.78),
+			explainClass(13.9),
+			draftClass(11.6),
+			lookupClass(8.79, 15, milliseconds(200), time.Second),
+		},
 	}
 }
 
@@ -64,13 +69,20 @@
 	s.Zones[2].Proxies = 3
 	s.Services[0].Runners = map[string]int{"west-a": 3, "west-b": 3, "east-a": 5}
 	s.Services[0].Engine = engineOptions(5.55, 42.6, 253713)
-	s.Classes = classes([4]float64{15.1, 20.6, 15, 12.7}, 60, milliseconds(300), 2*time.Second)
+	s.Classes = []Class{
+		reviewClass(15.1),
+		explainClass(20.6),
+		draftClass(15),
+		lookupClass(12.7, 60, milliseconds(300), 2*time.Second),
+	}
 	for i := range s.Classes {
 		s.Classes[i].HomeRegions = nil
 	}
 	return s
 }
 
+// engineOptions returns the properties of an engine: the least time of a step in milliseconds, the prompt tokens that it
+// prefills in a millisecond, and its memory in tokens.
 func engineOptions(stepMS, prefillPerMS float64, memory int) *engine.Options {
 	return &engine.Options{
 		MaxRunning:           64,
@@ -87,78 +99,97 @@
 	}
 }
 
-func classes(perS [4]float64, workMS float64, lookupTarget, lookupDeadline time.Duration) []Class {
-	return []Class{
-		{
-			Name:              "review",
-			Service:           "llm",
-			Type:              configuration.Streaming,
-			RequestsPerSecond: perS[0],
-			LatencyTarget:     milliseconds(800),
-			EventGapTarget:    milliseconds(400),
-			Deadline:          5 * time.Second,
-			ValueInTime:       2,
-			ValueLate:         0.6,
-			Rank:              1,
-			MaxAttempts:       1,
-			ClientRetries:     1,
-			SharedChunks: []SharedChunk{
-				{SizeDistribution{2520, 0.4, 6290}, 4}, {SizeDistribution{3780, 0.7, 11300}, 37}},
-			Skew:      0.3,
-			OwnTokens: SizeDistribution{2890, 1, 39600},
-			Events:    SizeDistribution{13, 1.4, 52.1},
-		},
-		{
-			Name:              "explain",
-			Service:           "llm",
-			Type:              configuration.Streaming,
-			RequestsPerSecond: perS[1],
-			LatencyTarget:     milliseconds(600),
-			EventGapTarget:    milliseconds(400),
-			Deadline:          3 * time.Second,
-			ValueInTime:       3,
-			ValueLate:         0.9,
-			Rank:              0,
-			MaxAttempts:       2,
-			ClientRetries:     1,
-			Resumable:         true,
-			SharedChunks:      []SharedChunk{{SizeDistribution{341, 0.4, 851}, 40}, {SizeDistribution{227, 0.7, 681}, 52}},
-			Skew:              0.3,
-			OwnTokens:         SizeDistribution{1800, 1.3, 6870},
-			Events:            SizeDistribution{5.64, 1.4, 22.6},
+// reviewClass returns the class of long prompts with shared prefixes.
+func reviewClass(rate float64) Class {
+	return Class{
+		Name:              "review",
+		Service:           "llm",
+		Type:              configuration.Streaming,
+		RequestsPerSecond: rate,
+		LatencyTarget:     milliseconds(800),
+		EventGapTarget:    milliseconds(400),
+		Deadline:          5 * time.Second,
+		ValueInTime:       2,
+		ValueLate:         0.6,
+		Rank:              1,
+		MaxAttempts:       1,
+		ClientRetries:     1,
+		SharedChunks: []SharedChunk{
+			{SizeDistribution{2520, 0.4, 6290}, 4},
+			{SizeDistribution{3780, 0.7, 11300}, 37},
 		},
-		{
-			Name:              "draft",
-			Service:           "llm",
-			Type:              configuration.Streaming,
-			RequestsPerSecond: perS[2],
-			LatencyTarget:     milliseconds(500),
-			EventGapTarget:    milliseconds(400),
-			Deadline:          15 * time.Second,
-			ValueInTime:       1,
-			ValueLate:         0.3,
-			Rank:              2,
-			MaxAttempts:       1,
-			ClientRetries:     1,
-			HomeRegions:       []string{"west"},
-			SharedChunks:      []SharedChunk{{SizeDistribution{103, 0.4, 257}, 20}, {SizeDistribution{68.6, 0.7, 206}, 98}},
-			Skew:              0.3,
-			OwnTokens:         SizeDistribution{543, 0.89, 2310},
-			Events:            SizeDistribution{70, 0.7, 238},
+		Skew:      0.3,
+		OwnTokens: SizeDistribution{2890, 1, 39600},
+		Events:    SizeDistribution{13, 1.4, 52.1},
+	}
+}
+
+// explainClass returns the class of short explanations, whose streams may be resumed.
+func explainClass(rate float64) Class {
+	return Class{
+		Name:              "explain",
+		Service:           "llm",
+		Type:              configuration.Streaming,
+		RequestsPerSecond: rate,
+		LatencyTarget:     milliseconds(600),
+		EventGapTarget:    milliseconds(400),
+		Deadline:          3 * time.Second,
+		ValueInTime:       3,
+		ValueLate:         0.9,
+		Rank:              0,
+		MaxAttempts:       2,
+		ClientRetries:     1,
+		Resumable:         true,
+		SharedChunks: []SharedChunk{
+			{SizeDistribution{341, 0.4, 851}, 40},
+			{SizeDistribution{227, 0.7, 681}, 52},
 		},
-		{
-			Name:              "lookup",
-			Service:           "api",
-			Type:              configuration.ReadOnly,
-			RequestsPerSecond: perS[3],
-			LatencyTarget:     lookupTarget,
-			Deadline:          lookupDeadline,
-			ValueInTime:       1,
-			ValueLate:         0.3,
-			Rank:              2,
-			MaxAttempts:       2,
-			ClientRetries:     1,
-			WorkMS:            SizeDistribution{workMS, 0.5, 110},
+		Skew:      0.3,
+		OwnTokens: SizeDistribution{1800, 1.3, 6870},
+		Events:    SizeDistribution{5.64, 1.4, 22.6},
+	}
+}
+
+// draftClass returns the class of long responses, which are bound to one region.
+func draftClass(rate float64) Class {
+	return Class{
+		Name:              "draft",
+		Service:           "llm",
+		Type:              configuration.Streaming,
+		RequestsPerSecond: rate,
+		LatencyTarget:     milliseconds(500),
+		EventGapTarget:    milliseconds(400),
+		Deadline:          15 * time.Second,
+		ValueInTime:       1,
+		ValueLate:         0.3,
+		Rank:              2,
+		MaxAttempts:       1,
+		ClientRetries:     1,
+		HomeRegions:       []string{"west"},
+		SharedChunks: []SharedChunk{
+			{SizeDistribution{103, 0.4, 257}, 20},
+			{SizeDistribution{68.6, 0.7, 206}, 98},
 		},
+		Skew:      0.3,
+		OwnTokens: SizeDistribution{543, 0.89, 2310},
+		Events:    SizeDistribution{70, 0.7, 238},
+	}
+}
+
+// lookupClass returns the class of look-ups without an engine; workMS is the mean of their work in milliseconds.
+func lookupClass(rate, workMS float64, target, deadline time.Duration) Class {
+	return Class{
+		Name:              "lookup",
+		Service:           "api",
+		Type:              configuration.ReadOnly,
+		RequestsPerSecond: rate,
+		LatencyTarget:     target,
+		Deadline:          deadline,
+		ValueInTime:       1,
+		ValueLate:         0.3,
+		Rank:              2,
+		MaxAttempts:       2,
+		ClientRetries:     1,
+		WorkMS:            SizeDistribution{workMS, 0.5, 110},
 	}
 }
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -76,8 +76,8 @@
 
 func (sim *simulation) runUntil(until time.Duration) {
 	for {
-		at, do, is := sim.eventQueue.PopUntil(until.Seconds())
-		if !is {
+		at, do, due := sim.eventQueue.PopUntil(until.Seconds())
+		if !due {
 			return
 		}
 		sim.now = max(sim.now, secondsToDuration(at))
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -138,6 +138,36 @@
 	if request := receive(t, agent.requests); len(request.Positions) != 3 || request.Positions[0].Index != 0 || request.Node != "n" {
 		t.Errorf("first request is %+v", request)
 	}
+	agent.replies <- firstReply()
+	checkFirstUpdate(t, receive(t, updates))
+	if request := receive(t, agent.requests); request.Positions[0].Index != 10 || request.Positions[1].Index != 4 || request.Peers != 5 {
+		t.Errorf("next request is %+v", request)
+	}
+	agent.replies <- laterReply()
+	update := receive(t, updates)
+	wantRoutes := len(update.Routes) == 0 && slices.Equal(update.RemovedRoutes, []string{"a"})
+	if update.Version != 8 || !wantRoutes || update.Services != nil || update.Runners != nil || !update.Complete {
+		t.Errorf("delta arrived as %+v", update)
+	}
+	receive(t, agent.requests)
+	stop()
+	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{{
+		Partition: 0,
+		Snapshot:  true,
+		To:        11,
+		Items:     []feed.Item{versionItem("7", 9), routeItem("a", "s", 5)},
+	}}}
+	agent.serve(address.String())
+	if request := receive(t, agent.requests); request.Positions[0].Index != 12 {
+		t.Errorf("request to the restarted agent is %+v", request)
+	}
+	if update = receive(t, updates); update.Version != 8 || len(update.Routes) != 0 {
+		t.Errorf("an older state arrived as %+v", update)
+	}
+}
+
+// firstReply returns snapshots of the configuration and of the first runner partition; the second one lacks yet.
+func firstReply() *feed.FollowReply {
 	runner := discovery.Runner{
 		ID:                 "i",
 		Service:            "s",
@@ -146,7 +176,7 @@
 		Capacity:           4,
 		SlowStartRemaining: 5 * time.Second,
 	}
-	agent.replies <- &feed.FollowReply{
+	return &feed.FollowReply{
 		Proxies:     3,
 		Peers:       []feed.Peer{{Node: "p", Zone: "z"}},
 		PeersDigest: 5,
@@ -179,7 +209,11 @@
 			},
 		},
 	}
-	update := receive(t, updates)
+}
+
+// checkFirstUpdate checks what a proxy is to apply of firstReply.
+func checkFirstUpdate(t *testing.T, update Update) {
+	t.Helper()
 	wantConfiguration := update.Version == 7 && len(update.Routes) == 2 && len(*update.Services) == 1 && (*update.EvacuatedZones)["z9"]
 	wantPeers := update.ProxyCount == 3 && update.Peers != nil && len(*update.Peers) == 1 && (*update.Peers)[0].Node == "p"
 	if !wantConfiguration || update.Complete || !wantPeers {
@@ -190,10 +224,11 @@
 	if arrived.ID != "i" || !arrived.TerminatesAt.IsZero() || slowStart > 4*time.Second || slowStart < -testTimeout {
 		t.Errorf("runner arrived as %+v", arrived)
 	}
-	if request := receive(t, agent.requests); request.Positions[0].Index != 10 || request.Positions[1].Index != 4 || request.Peers != 5 {
-		t.Errorf("next request is %+v", request)
-	}
-	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{
+}
+
+// laterReply returns the changes of the configuration after firstReply, and the partition that it lacks.
+func laterReply() *feed.FollowReply {
+	return &feed.FollowReply{Batches: []feed.Batch{
 		{
 			Partition: 0,
 			From:      10,
@@ -205,26 +240,6 @@
 		},
 		{Partition: 2, Snapshot: true, To: 1},
 	}}
-	update = receive(t, updates)
-	wantRoutes := len(update.Routes) == 0 && slices.Equal(update.RemovedRoutes, []string{"a"})
-	if update.Version != 8 || !wantRoutes || update.Services != nil || update.Runners != nil || !update.Complete {
-		t.Errorf("delta arrived as %+v", update)
-	}
-	receive(t, agent.requests)
-	stop()
-	agent.replies <- &feed.FollowReply{Batches: []feed.Batch{{
-		Partition: 0,
-		Snapshot:  true,
-		To:        11,
-		Items:     []feed.Item{versionItem("7", 9), routeItem("a", "s", 5)},
-	}}}
-	agent.serve(address.String())
-	if request := receive(t, agent.requests); request.Positions[0].Index != 12 {
-		t.Errorf("request to the restarted agent is %+v", request)
-	}
-	if update = receive(t, updates); update.Version != 8 || len(update.Routes) != 0 {
-		t.Errorf("an older state arrived as %+v", update)
-	}
 }
 
 // The previous incarnation's snapshot is fetched before the first report; later changes are reported at once.
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -13,19 +13,10 @@
 	"cinderroad/internal/system/feed"
 )
 
-// TestReadFeedItems checks how each key of the feed is decoded. Package compatibility records calls and values.
-func TestReadFeedItems(t *testing.T) {
-	if followCall.Name() != "Feed.Follow" || reportCall.Name() != "Proxy.Report" {
-		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
-	}
-	ordinal := "\x00\x00\x00\x00\x00\x00\x00\x01"
-	runner := discovery.Runner{
-		ID:       "r-1",
-		Service:  "s",
-		Address:  netip.MustParseAddrPort("10.0.0.1:80"),
-		Capacity: 3,
-	}
-	items := []feed.Item{
+// configurationItems returns one item of each kind of the configuration, as the feed has them.
+func configurationItems() []feed.Item {
+	const ordinal = "\x00\x00\x00\x00\x00\x00\x00\x01"
+	return []feed.Item{
 		{Key: "evacuation/east-a", Index: 1, Value: []byte{}},
 		{Key: "limits", Index: 2, Value: []byte(`{"max_header_bytes":1,"max_body_bytes":2,"header_wait_ms":3,"idle_limit_ms":4}`)},
 		{
@@ -42,29 +33,11 @@
 		},
 		{Key: "version", Index: 5, Value: []byte("7")},
 	}
-	partition := feed.PartitionOf("s", feed.RunnerPartitionCount)
-	if partition != 2 {
-		t.Errorf("the service is in partition %d", partition)
-	}
-	s := newFeedState(feed.RunnerPartitionCount)
-	got := s.apply(&feed.FollowReply{
-		Proxies:     3,
-		PeersDigest: 9,
-		Peers:       []feed.Peer{{Node: "edge-2"}},
-		Batches: []feed.Batch{
-			{Partition: 0, Snapshot: true, To: 5, Items: items},
-			{
-				Partition: partition,
-				Snapshot:  true,
-				To:        1,
-				Items: []feed.Item{
-					{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)},
-				},
-			},
-		},
-	})
-	s.fillSets(&got)
-	want := Update{
+}
+
+// updateOfItems returns the update that a proxy gets of configurationItems and a runner.
+func updateOfItems(runner discovery.Runner) Update {
+	return Update{
 		Version:    7,
 		Complete:   true,
 		ProxyCount: 3,
@@ -88,7 +61,42 @@
 		EvacuatedZones: &map[string]bool{"east-a": true},
 		Runners:        &[]Runner{{Runner: runner}},
 	}
-	if d := cmp.Diff(want, got, cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})); d != "" {
+}
+
+// TestReadFeedItems checks how each key of the feed is decoded. Package compatibility records calls and values.
+func TestReadFeedItems(t *testing.T) {
+	if followCall.Name() != "Feed.Follow" || reportCall.Name() != "Proxy.Report" {
+		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
+	}
+	runner := discovery.Runner{
+		ID:       "r-1",
+		Service:  "s",
+		Address:  netip.MustParseAddrPort("10.0.0.1:80"),
+		Capacity: 3,
+	}
+	partition := feed.PartitionOf("s", feed.RunnerPartitionCount)
+	if partition != 2 {
+		t.Errorf("the service is in partition %d", partition)
+	}
+	s := newFeedState(feed.RunnerPartitionCount)
+	got := s.apply(&feed.FollowReply{
+		Proxies:     3,
+		PeersDigest: 9,
+		Peers:       []feed.Peer{{Node: "edge-2"}},
+		Batches: []feed.Batch{
+			{Partition: 0, Snapshot: true, To: 5, Items: configurationItems()},
+			{
+				Partition: partition,
+				Snapshot:  true,
+				To:        1,
+				Items: []feed.Item{
+					{Key: "runner/r-1", Index: 1, Value: discovery.EncodeRunner(runner)},
+				},
+			},
+		},
+	})
+	s.fillSets(&got)
+	if d := cmp.Diff(updateOfItems(runner), got, cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})); d != "" {
 		t.Error(d)
 	}
 	if len(s.problems) > 0 {
--- a/internal/system/proxy/control_state_test.go
+++ b/internal/system/proxy/control_state_test.go
@@ -18,6 +18,25 @@
 
 func (a *fakeAgent) last() feed.ProxyReport { return a.reports[len(a.reports)-1] }
 
+// completeUpdate returns an update with all that a proxy needs to be ready: two routes to a service, and its runner.
+func completeUpdate(runnerAddress netip.AddrPort) agentclient.Update {
+	runner := discovery.Runner{
+		ID:                 "a",
+		Service:            "s",
+		Address:            runnerAddress,
+		Zone:               "z",
+		SlowStartRemaining: time.Second,
+	}
+	return agentclient.Update{
+		Version:    3,
+		Routes:     []*configuration.Route{route("one", configuration.ReadWrite), route("two", configuration.ReadWrite)},
+		Services:   &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
+		Runners:    &[]agentclient.Runner{{Runner: runner, SlowStartUntil: time.Now().Add(time.Hour)}},
+		ProxyCount: 2,
+		Complete:   true,
+	}
+}
+
 // An update is in force for the next request, and the agent is notified at once when it makes the proxy ready.
 func TestApplyUpdate(t *testing.T) {
 	h := newHarness(t)
@@ -31,30 +50,12 @@
 	client := h.connect()
 	client.send(requestText("/one/x", "t1", "", ""))
 	client.expectResponse(503, "")
-	one, two := route("one", configuration.ReadWrite), route("two", configuration.ReadWrite)
 	address := netip.MustParseAddrPort(runner.listener.Addr().String())
-	runners := []agentclient.Runner{{
-		Runner: discovery.Runner{
-			ID:                 "a",
-			Service:            "s",
-			Address:            address,
-			Zone:               "z",
-			SlowStartRemaining: time.Second,
-		},
-		SlowStartUntil: time.Now().Add(time.Hour),
-	}}
 	h.onLoop(func() {
 		if h.proxy.Ready() || agent.last().Ready {
 			t.Error("ready without a configuration")
 		}
-		h.proxy.ApplyUpdate(agentclient.Update{
-			Version:    3,
-			Routes:     []*configuration.Route{one, two},
-			Services:   &[]*configuration.Service{{Name: "s", MaxConnections: 8}},
-			Runners:    &runners,
-			ProxyCount: 2,
-			Complete:   true,
-		})
+		h.proxy.ApplyUpdate(completeUpdate(address))
 		if !h.proxy.Ready() || !agent.last().Ready || agent.last().Stopping {
 			t.Error("not ready with all that is needed")
 		}
