--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -39,8 +39,8 @@
 }
 
 // String formats the violation on one line.
-func (b Violation) String() string {
-	return fmt.Sprintf("rule=%s at=%s what=%q", b.Rule, b.At.Format("15:04:05.000"), b.Description)
+func (v Violation) String() string {
+	return fmt.Sprintf("rule=%s at=%s what=%q", v.Rule, v.At.Format("15:04:05.000"), v.Description)
 }
 
 // Route is the part of a configured route that the checker needs.
@@ -72,10 +72,11 @@
 
 // Limits are the grace periods and the retry budget of the rules.
 type Limits struct {
-	DrainGrace, EvacuationGrace time.Duration
-	RetryRatio                  float64
-	RetryWindow                 time.Duration
-	RetryAllowance              float64
+	DrainGrace      time.Duration // requests may still reach a draining runner
+	EvacuationGrace time.Duration // requests may still reach an evacuated zone
+	RetryRatio      float64       // retries allowed for each request within RetryWindow
+	RetryWindow     time.Duration // 0: retries are not limited
+	RetryAllowance  float64       // retries allowed on top of that
 }
 
 // Checker records requests and violations. Its methods may be called from any goroutine.
@@ -85,18 +86,18 @@
 
 	mutex        sync.Mutex
 	attempts     map[string]*attemptRecord
-	draining     map[string]time.Time // by runner ID: when the platform's list first shows it as draining
-	evacuated    map[string]time.Time // by zone: when the evacuation was acknowledged
-	requestTimes map[string][]time.Time
-	retryTimes   map[string][]time.Time // by service
+	draining     map[string]time.Time   // by runner ID: when the platform's list first shows it as draining
+	evacuated    map[string]time.Time   // by zone: when the evacuation was acknowledged
+	requestTimes map[string][]time.Time // by service that a request's route may lead to, in order
+	retryTimes   map[string][]time.Time // by service that received the retry, in order
 	violations   []Violation
 }
 
 type attemptRecord struct {
 	Attempt
-	arrivals int
-	runs     int
-	rejected bool
+	arrivals int  // at runners
+	runs     int  // executions that were started
+	rejected bool // its client was told that it was not executed and won't be
 }
 
 // New returns a checker; a nil now stands for time.Now.
@@ -104,8 +105,15 @@
 	if now == nil {
 		now = time.Now
 	}
-	return &Checker{limits: limits, now: now, attempts: make(map[string]*attemptRecord), draining: make(map[string]time.Time),
-		evacuated: make(map[string]time.Time), requestTimes: make(map[string][]time.Time), retryTimes: make(map[string][]time.Time)}
+	return &Checker{
+		limits:       limits,
+		now:          now,
+		attempts:     make(map[string]*attemptRecord),
+		draining:     make(map[string]time.Time),
+		evacuated:    make(map[string]time.Time),
+		requestTimes: make(map[string][]time.Time),
+		retryTimes:   make(map[string][]time.Time),
+	}
 }
 
 var seed = maphash.MakeSeed()
@@ -156,8 +164,8 @@
 
 func (c *Checker) checkUnchanged(attempt *attemptRecord, received ReceivedRequest) {
 	if received.Method != attempt.Method || received.URI != attempt.URI || received.Host != attempt.Host {
-		c.addViolation(UnexpectedRequest, "attempt %s was sent as %s %s%s and arrived as %s %s%s", attempt.ID, attempt.Method, attempt.Host, attempt.URI, received.Method,
-			received.Host, received.URI)
+		c.addViolation(UnexpectedRequest, "attempt %s was sent as %s %s%s and arrived as %s %s%s", attempt.ID,
+			attempt.Method, attempt.Host, attempt.URI, received.Method, received.Host, received.URI)
 	}
 	if received.Body != attempt.Body {
 		c.addViolation(UnexpectedRequest, "the body of attempt %s was changed", attempt.ID)
@@ -173,11 +181,13 @@
 	if len(attempt.Route.HomeRegions) > 0 && !slices.Contains(attempt.Route.HomeRegions, runner.Region) {
 		c.addViolation(WrongRegion, "attempt %s of %s arrived in region %s", attempt.ID, attempt.Route.Name, runner.Region)
 	}
-	if since, is := c.draining[runner.ID]; is && now.Sub(since) > c.limits.DrainGrace {
-		c.addViolation(SentToDraining, "runner %s got attempt %s %v after the list showed it as draining", runner.ID, attempt.ID, now.Sub(since))
+	if since, draining := c.draining[runner.ID]; draining && now.Sub(since) > c.limits.DrainGrace {
+		c.addViolation(SentToDraining, "runner %s got attempt %s %v after the list showed it as draining",
+			runner.ID, attempt.ID, now.Sub(since))
 	}
-	if since, is := c.evacuated[runner.Zone]; is && now.Sub(since) > c.limits.EvacuationGrace {
-		c.addViolation(SentToEvacuatedZone, "zone %s got attempt %s %v after its evacuation", runner.Zone, attempt.ID, now.Sub(since))
+	if since, evacuated := c.evacuated[runner.Zone]; evacuated && now.Sub(since) > c.limits.EvacuationGrace {
+		c.addViolation(SentToEvacuatedZone, "zone %s got attempt %s %v after its evacuation",
+			runner.Zone, attempt.ID, now.Sub(since))
 	}
 }
 
@@ -279,11 +289,16 @@
 	}
 	for i, end := range retryTimes {
 		first, _ := slices.BinarySearchFunc(retryTimes, end.Add(-window), time.Time.Compare)
-		requests := max(c.requestsBetween(service, end.Add(-window), end), c.requestsBetween(service, end.Add(-2*window),
-			end.Add(-window)),
-			c.requestsBetween(service, end.Add(-3*window/2), end.Add(-window/2)))
-		if allowed := c.limits.RetryRatio*float64(requests) + c.limits.RetryAllowance; float64(i+1-first) > allowed {
-			c.addViolation(RetryBudgetExceeded, "service %s was sent %d retries in %v, at most %.1f are allowed", service, i+1-first, window, allowed)
+		retries := i + 1 - first
+		requests := max(
+			c.requestsBetween(service, end.Add(-window), end),
+			c.requestsBetween(service, end.Add(-2*window), end.Add(-window)),
+			c.requestsBetween(service, end.Add(-3*window/2), end.Add(-window/2)),
+		)
+		allowed := c.limits.RetryRatio*float64(requests) + c.limits.RetryAllowance
+		if float64(retries) > allowed {
+			c.addViolation(RetryBudgetExceeded, "service %s was sent %d retries in %v, at most %.1f are allowed",
+				service, retries, window, allowed)
 			return
 		}
 	}
--- a/internal/testkit/runner/execution.go
+++ b/internal/testkit/runner/execution.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net/http"
-	"slices"
 	"strconv"
 	"sync"
 
@@ -29,8 +28,13 @@
 }
 
 func newExecution(r *Runner, attemptID string, request *engine.Request) *execution {
-	return &execution{runner: r, attemptID: attemptID, request: request, id: fmt.Sprintf("%s-%08x", r.options.ID, r.random.Uint32()),
-		signal: make(chan struct{}, 1)}
+	return &execution{
+		runner:    r,
+		attemptID: attemptID,
+		id:        fmt.Sprintf("%s-%08x", r.options.ID, r.random.Uint32()),
+		request:   request,
+		signal:    make(chan struct{}, 1),
+	}
 }
 
 // addEvent queues an event of the engine; it never blocks.
@@ -62,8 +66,10 @@
 			r.cancel(execution)
 			return
 		}
-		if slices.ContainsFunc(execution.takeEvents(), func(event engine.Event) bool { return r.handleEngineEvent(execution, request, event) }) {
-			return
+		for _, event := range execution.takeEvents() {
+			if ended := r.handleEngineEvent(execution, request, event); ended {
+				return
+			}
 		}
 	}
 }
@@ -118,7 +124,12 @@
 
 func (r *Runner) sendEvent(execution *execution, index int) bool {
 	if execution.eventsSent == 0 {
-		seal := answer.Seal{Stream: true, Size: execution.totalEvents(), AttemptID: execution.attemptID, ExecutionID: execution.id}
+		seal := answer.Seal{
+			Stream:      true,
+			Size:        execution.totalEvents(),
+			AttemptID:   execution.attemptID,
+			ExecutionID: execution.id,
+		}
 		execution.writer.Header().Set(answer.HeaderSeal, seal.String())
 		execution.writer.Header().Set("Content-Type", "text/event-stream")
 		execution.writer.WriteHeader(http.StatusOK)
@@ -154,7 +165,12 @@
 }
 
 func (r *Runner) writeBodyHeader(execution *execution, body []byte) {
-	seal := answer.Seal{Size: len(body), Checksum: answer.Checksum(body), AttemptID: execution.attemptID, ExecutionID: execution.id}
+	seal := answer.Seal{
+		Size:        len(body),
+		Checksum:    answer.Checksum(body),
+		AttemptID:   execution.attemptID,
+		ExecutionID: execution.id,
+	}
 	execution.writer.Header().Set(answer.HeaderSeal, seal.String())
 	execution.writer.Header().Set("Content-Type", "application/octet-stream")
 	execution.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/testkit/runner/listener.go
+++ b/internal/testkit/runner/listener.go
@@ -50,7 +50,7 @@
 	return c
 }
 
-func (l *listener) counts() (taken, turnedAway int) {
+func (l *listener) counts() (accepted, rejected int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.accepted, l.rejected
--- a/internal/testkit/runner/report.go
+++ b/internal/testkit/runner/report.go
@@ -9,14 +9,18 @@
 	"cinderroad/internal/testkit/answer"
 )
 
-// reportPath is the endpoint of a runner's state report.
-const reportPath = "/-/report"
+const (
+	reportPath = "/-/report" // endpoint of a runner's state report
+	maxReports = 64          // that are kept for ReportDelay
+)
 
 // report is the state at a time.
 type report struct {
-	at                    time.Duration
-	queued, running       int
-	memoryUsed, memoryAll int
+	at         time.Duration
+	queued     int
+	running    int
+	memoryUsed int // tokens, as memorySize
+	memorySize int
 }
 
 // reportBody is a report in JSON.
@@ -39,12 +43,16 @@
 
 // recordReport records the current state, and drops records that are too old for the report delay.
 func (r *Runner) recordReport() {
-	const most = 64
 	s := r.options.Engine.State()
 	now := r.now()
-	r.reports = append(r.reports, report{at: now, queued: s.Queued, running: s.Running, memoryUsed: s.MemoryPinned,
-		memoryAll: s.MemorySize})
-	for len(r.reports) > 1 && r.reports[1].at <= now-r.options.ReportDelay || len(r.reports) > most {
+	r.reports = append(r.reports, report{
+		at:         now,
+		queued:     s.Queued,
+		running:    s.Running,
+		memoryUsed: s.MemoryPinned,
+		memorySize: s.MemorySize,
+	})
+	for len(r.reports) > 1 && r.reports[1].at <= now-r.options.ReportDelay || len(r.reports) > maxReports {
 		r.reports = r.reports[1:]
 	}
 }
@@ -54,8 +62,14 @@
 	r.stats.HealthChecks++
 	r.recordReport()
 	old := r.reports[0]
-	body := reportBody{Phase: "both", Models: []reportModel{}, Queued: old.queued, Running: old.running,
-		CacheUsed: old.memoryUsed, CacheSize: old.memoryAll}
+	body := reportBody{
+		Phase:     "both",
+		Models:    []reportModel{},
+		Queued:    old.queued,
+		Running:   old.running,
+		CacheUsed: old.memoryUsed,
+		CacheSize: old.memorySize,
+	}
 	r.mutex.Unlock()
 	for _, model := range r.options.Models {
 		body.Models = append(body.Models, reportModel{Model: model, Adapters: []string{}})
--- a/internal/testkit/runner/request.go
+++ b/internal/testkit/runner/request.go
@@ -24,11 +24,11 @@
 	if engineRequest.Chunks, err = parseChunks(request.Header.Get(answer.HeaderPromptChunks)); err != nil {
 		return nil, err
 	}
-	most := 1
-	if _, out, found := strings.Cut(request.Header.Get(answer.HeaderTokenCounts), ","); found {
-		most, _ = strconv.Atoi(out)
+	maxOutputTokens := 1
+	if _, text, found := strings.Cut(request.Header.Get(answer.HeaderTokenCounts), ","); found {
+		maxOutputTokens, _ = strconv.Atoi(text)
 	}
-	engineRequest.OutputTokens = outputTokens(engineRequest.Chunks, most)
+	engineRequest.OutputTokens = outputTokens(engineRequest.Chunks, maxOutputTokens)
 	if last := request.Header.Get(answer.HeaderLastEventID); last != "" {
 		done, err := strconv.Atoi(last)
 		if err != nil || done < 0 {
--- a/internal/testkit/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -91,13 +91,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("runner %s: %w", o.ID, err)
 	}
-	r := &Runner{options: o, address: inner.Addr().(*net.TCPAddr).AddrPort(), epoch: time.Now(),
-		wake: make(chan struct{}, 1), done: make(chan struct{}), random: rand.New(rand.NewPCG(o.Seed, 4)),
-		executions: make(map[*engine.Task]*execution)}
+	r := &Runner{
+		options:    o,
+		address:    inner.Addr().(*net.TCPAddr).AddrPort(),
+		epoch:      time.Now(),
+		wake:       make(chan struct{}, 1),
+		done:       make(chan struct{}),
+		random:     rand.New(rand.NewPCG(o.Seed, 4)),
+		executions: make(map[*engine.Task]*execution),
+	}
 	r.listener = &listener{Listener: inner, maxConns: o.MaxConns, conns: make(map[*conn]struct{})}
-	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), IdleTimeout: o.IdleTimeout,
-		ErrorLog: log.New(io.Discard, "", 0), ConnState: r.connState,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	r.server = &http.Server{
+		Handler:     http.HandlerFunc(r.serve),
+		IdleTimeout: o.IdleTimeout,
+		ErrorLog:    log.New(io.Discard, "", 0),
+		ConnState:   r.connState,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
+	}
 	go r.server.Serve(r.listener)
 	go r.run()
 	return r, nil
@@ -140,7 +152,8 @@
 func (r *Runner) SetFaults(f Faults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults, r.faultCount = f, 0
+	r.faults = f
+	r.faultCount = 0
 }
 
 // Hang stops the work and all answers; connections stay open, and new ones are accepted.
@@ -186,7 +199,8 @@
 	defer r.mutex.Unlock()
 	s := r.stats
 	s.Engine = r.options.Engine.State()
-	s.SlowStartPeak, s.SlowStartViolations = r.options.SlowStart.PeakArrivals(), r.options.SlowStart.Violations()
+	s.SlowStartPeak = r.options.SlowStart.PeakArrivals()
+	s.SlowStartViolations = r.options.SlowStart.Violations()
 	s.ConnectionsAccepted, s.ConnectionsReset = r.listener.counts()
 	return s
 }
@@ -196,7 +210,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if next, is := r.advance(); is {
+		if next, ok := r.advance(); ok {
 			timer.Reset(max(0, next-r.now()))
 		}
 		select {
@@ -208,8 +222,8 @@
 	}
 }
 
-// advance processes the engine's due events and returns when the next is due.
-func (r *Runner) advance() (next time.Duration, is bool) {
+// advance processes the engine's due events and returns when the next is due; ok is false if there is none.
+func (r *Runner) advance() (next time.Duration, ok bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, event := range r.options.Engine.Advance(r.now()) {
--- a/internal/testkit/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -22,8 +22,14 @@
 const testTimeout = 20 * time.Second
 
 func engineOptions() engine.Options {
-	return engine.Options{MaxRunning: 4, MaxQueued: 4, MemoryTokens: 1000, StepTime: time.Millisecond, PrefillTokensPerMS: 100,
-		EventTokens: 2}
+	return engine.Options{
+		MaxRunning:         4,
+		MaxQueued:          4,
+		MemoryTokens:       1000,
+		StepTime:           time.Millisecond,
+		PrefillTokensPerMS: 100,
+		EventTokens:        2,
+	}
 }
 
 func startRunner(t *testing.T, alter func(*Options)) *Runner {
@@ -32,8 +38,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	options := Options{Runner: checker.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"}, Address: "127.0.0.1:0",
-		Engine: server, EventTokens: 2, Models: []Model{{Name: "m", Version: 3}}, HealthPath: "/health"}
+	options := Options{
+		Runner:      checker.Runner{ID: "i-1", Service: "llm", Zone: "a", Region: "r"},
+		Address:     "127.0.0.1:0",
+		Engine:      server,
+		EventTokens: 2,
+		Models:      []Model{{Name: "m", Version: 3}},
+		HealthPath:  "/health",
+	}
 	if alter != nil {
 		alter(&options)
 	}
@@ -202,63 +214,75 @@
 	}
 }
 
+// faultCheck checks what a caller gets from a runner with a fault: the answer, or the error instead of one.
+type faultCheck func(t *testing.T, c *caller, resp *http.Response, err error)
+
+// wantAnswer makes a check of an answer whose head must have arrived.
+func wantAnswer(check func(t *testing.T, c *caller, resp *http.Response)) faultCheck {
+	return func(t *testing.T, c *caller, resp *http.Response, err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+		check(t, c, resp)
+	}
+}
+
+// wantNoAnswer makes a check that there is no answer; complaint is the failure otherwise.
+func wantNoAnswer(complaint string) faultCheck {
+	return func(t *testing.T, _ *caller, _ *http.Response, err error) {
+		t.Helper()
+		if err == nil {
+			t.Error(complaint)
+		}
+	}
+}
+
+func checkTruncatedStream(t *testing.T, _ *caller, resp *http.Response) {
+	t.Helper()
+	if list, err := events(t, resp.Body); err == nil || len(list) == 0 {
+		t.Errorf("%d events, %v", len(list), err)
+	}
+}
+
+func checkTruncatedBody(t *testing.T, _ *caller, resp *http.Response) {
+	t.Helper()
+	if _, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("body ended with %v", err)
+	}
+}
+
+func checkExtraAnswer(t *testing.T, c *caller, resp *http.Response) {
+	t.Helper()
+	io.Copy(io.Discard, resp.Body)
+	if extra, err := http.ReadResponse(c.reader, nil); err != nil || extra.Header.Get(answer.HeaderAttemptID) != "1" {
+		t.Errorf("extra: %v", err)
+	}
+}
+
+func checkStaleAnswer(t *testing.T, c *caller, resp *http.Response) {
+	t.Helper()
+	io.Copy(io.Discard, resp.Body)
+	next, err := c.ask("POST", "/a/b", "X-Try-Id: 2")
+	if err != nil || next.Header.Get(answer.HeaderAttemptID) != "1" {
+		t.Errorf("the next answer: %v", err)
+	}
+}
+
 func TestFaults(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		faults Faults
 		alter  func(*Options)
-		check  func(t *testing.T, c *caller, resp *http.Response, err error)
+		check  faultCheck
 	}{
-		{"broken off stream", Faults{Truncate: 1}, nil, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err != nil {
-				t.Fatal(err)
-			}
-			if list, err := events(t, resp.Body); err == nil || len(list) == 0 {
-				t.Errorf("%d events, %v", len(list), err)
-			}
-		}},
-		{"broken off body", Faults{Truncate: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Errorf("body ended with %v", err)
-			}
-		}},
-		{"extra", Faults{ExtraBytes: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err != nil {
-				t.Fatal(err)
-			}
-			io.Copy(io.Discard, resp.Body)
-			if extra, err := http.ReadResponse(c.reader, nil); err != nil || extra.Header.Get(answer.HeaderAttemptID) != "1" {
-				t.Errorf("extra: %v", err)
-			}
-		}},
-		{"extra late", Faults{StaleAnswer: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err != nil {
-				t.Fatal(err)
-			}
-			io.Copy(io.Discard, resp.Body)
-			next, err := c.ask("POST", "/a/b", "X-Try-Id: 2")
-			if err != nil || next.Header.Get(answer.HeaderAttemptID) != "1" {
-				t.Errorf("the next answer: %v", err)
-			}
-		}},
-		{"garbage", Faults{Garbage: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err == nil {
-				t.Error("garbage was an answer")
-			}
-		}},
-		{"reset", Faults{Reset: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err == nil {
-				t.Error("an answer came")
-			}
-		}},
-		{"close", Faults{Close: 1}, plainServer, func(t *testing.T, c *caller, resp *http.Response, err error) {
-			if err == nil {
-				t.Error("an answer came")
-			}
-		}},
+		{"broken off stream", Faults{Truncate: 1}, nil, wantAnswer(checkTruncatedStream)},
+		{"broken off body", Faults{Truncate: 1}, plainServer, wantAnswer(checkTruncatedBody)},
+		{"extra", Faults{ExtraBytes: 1}, plainServer, wantAnswer(checkExtraAnswer)},
+		{"extra late", Faults{StaleAnswer: 1}, plainServer, wantAnswer(checkStaleAnswer)},
+		{"garbage", Faults{Garbage: 1}, plainServer, wantNoAnswer("garbage was an answer")},
+		{"reset", Faults{Reset: 1}, plainServer, wantNoAnswer("an answer came")},
+		{"close", Faults{Close: 1}, plainServer, wantNoAnswer("an answer came")},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := startRunner(t, test.alter)
--- a/internal/testkit/runner/serve.go
+++ b/internal/testkit/runner/serve.go
@@ -40,12 +40,12 @@
 // setCommonHeaders sets the headers of every answer.
 func (r *Runner) setCommonHeaders(w http.ResponseWriter) {
 	r.mutex.Lock()
-	ends := r.draining || r.random.Float64() < r.options.CloseShare
+	closes := r.draining || r.random.Float64() < r.options.CloseShare
 	r.mutex.Unlock()
 	for _, model := range r.options.Models {
 		w.Header().Set(answer.HeaderVersions, strconv.Itoa(model.Version))
 	}
-	if ends {
+	if closes {
 		w.Header().Set("Connection", "close")
 		return
 	}
@@ -65,7 +65,8 @@
 	if attemptID != "" {
 		writer.Header().Set(answer.HeaderAttemptID, attemptID)
 	}
-	if wanted := request.Header.Get(answer.HeaderWantedServer); wanted != "" && wanted != r.options.ID || !r.hasVersion(request) {
+	wanted := request.Header.Get(answer.HeaderWantedServer)
+	if wanted != "" && wanted != r.options.ID || !r.hasVersion(request) {
 		r.updateStats(func(s *Stats) { s.Misdirected++ })
 		writer.Header().Set(answer.HeaderServerID, r.options.ID)
 		writer.WriteHeader(http.StatusMisdirectedRequest)
@@ -80,8 +81,14 @@
 		return
 	}
 	if r.options.Checker != nil {
-		r.options.Checker.RequestReceived(checker.ReceivedRequest{Runner: &r.options.Runner, ID: attemptID, Method: request.Method, Host: request.Host,
-			URI: request.RequestURI, Body: checker.Hash(body)})
+		r.options.Checker.RequestReceived(checker.ReceivedRequest{
+			Runner: &r.options.Runner,
+			ID:     attemptID,
+			Method: request.Method,
+			Host:   request.Host,
+			URI:    request.RequestURI,
+			Body:   checker.Hash(body),
+		})
 	}
 	execution, ok := r.submit(request, attemptID)
 	if !ok {
@@ -92,7 +99,8 @@
 		reset(connection.Conn)
 		return
 	}
-	execution.writer, execution.conn = writer, connection
+	execution.writer = writer
+	execution.conn = connection
 	r.sendAnswer(execution, request)
 }
 
