--- a/internal/testkit/answer/answer_test.go
+++ b/internal/testkit/answer/answer_test.go
@@ -10,13 +10,21 @@
 func TestSealAndEventRoundTrip(t *testing.T) {
 	word := rapid.StringMatching(`[0-9a-z-]{1,16}`)
 	rapid.Check(t, func(t *rapid.T) {
-		seal := Seal{Stream: rapid.Bool().Draw(t, "stream"), Size: rapid.IntRange(0, 1<<20).Draw(t, "size"),
-			Checksum: rapid.Uint32().Draw(t, "sum"), AttemptID: word.Draw(t, "try"), ExecutionID: word.Draw(t, "run")}
+		seal := Seal{
+			Stream:      rapid.Bool().Draw(t, "stream"),
+			Size:        rapid.IntRange(0, 1<<20).Draw(t, "size"),
+			Checksum:    rapid.Uint32().Draw(t, "sum"),
+			AttemptID:   word.Draw(t, "try"),
+			ExecutionID: word.Draw(t, "run"),
+		}
 		if got, err := ParseSeal(seal.String()); err != nil || got != seal {
 			t.Fatalf("%+v read as %+v: %v", seal, got, err)
 		}
-		event := Event{Index: rapid.IntRange(1, 999).Draw(t, "index"), Total: rapid.IntRange(1, 999).Draw(t, "of"),
-			ExecutionID: word.Draw(t, "run")}
+		event := Event{
+			Index:       rapid.IntRange(1, 999).Draw(t, "index"),
+			Total:       rapid.IntRange(1, 999).Draw(t, "of"),
+			ExecutionID: word.Draw(t, "run"),
+		}
 		if got, err := ParseEvent(strconv.Itoa(event.Index), event.Data()); err != nil || got != event {
 			t.Fatalf("%+v read as %+v: %v", event, got, err)
 		}
--- a/internal/testkit/client/attempt.go
+++ b/internal/testkit/client/attempt.go
@@ -32,8 +32,14 @@
 	id := c.client.generator.newAttemptID()
 	body := c.makeBody(id)
 	if r := c.client.generator.options.Checker; r != nil {
-		r.RequestSent(checker.Attempt{ID: id, Method: requestMethod, Host: c.Route.Host, URI: c.Route.Path, Body: checker.Hash(body),
-			Route: c.Route.CheckerRoute})
+		r.RequestSent(checker.Attempt{
+			ID:     id,
+			Method: requestMethod,
+			Host:   c.Route.Host,
+			URI:    c.Route.Path,
+			Body:   checker.Hash(body),
+			Route:  c.Route.CheckerRoute,
+		})
 	}
 	conn.SetDeadline(c.readDeadline())
 	if _, err := conn.Write(c.encodeRequest(id, body)); err != nil {
@@ -46,14 +52,14 @@
 		c.reportInvalidBytes(id, err)
 		return c.connectionFailed(conn, err)
 	}
-	v := c.readAnswer(conn, head, id)
-	switch v {
+	result := c.readAnswer(conn, head, id)
+	switch result {
 	case succeeded, notExecuted, clientError:
 		c.client.putIdle(conn, head)
 	default:
 		conn.Close()
 	}
-	return v
+	return result
 }
 
 // reportInvalidBytes reports bytes that aren't an HTTP answer. A connection that breaks in the middle of an answer is
@@ -86,20 +92,25 @@
 // encodeRequest returns the complete request as sent; a share of the bodies is chunked.
 func (c *callState) encodeRequest(id string, body []byte) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", requestMethod, c.Route.Path, c.Route.Host, answer.HeaderAttemptID, id)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\n", requestMethod, c.Route.Path)
+	fmt.Fprintf(&b, "Host: %s\r\n", c.Route.Host)
+	fmt.Fprintf(&b, "%s: %s\r\n", answer.HeaderAttemptID, id)
 	fmt.Fprintf(&b, "%s: %d\r\n", answer.HeaderTimeLeft, max(1, time.Until(c.deadline).Milliseconds()))
 	if c.PromptChunks != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n%s: %d,%d\r\n%s: %s\r\n", answer.HeaderModel, c.Model, answer.HeaderTokenCounts, c.PromptTokens,
-			c.MaxOutputTokens,
-			answer.HeaderPromptChunks, c.PromptChunks)
+		fmt.Fprintf(&b, "%s: %s\r\n", answer.HeaderModel, c.Model)
+		fmt.Fprintf(&b, "%s: %d,%d\r\n", answer.HeaderTokenCounts, c.PromptTokens, c.MaxOutputTokens)
+		fmt.Fprintf(&b, "%s: %s\r\n", answer.HeaderPromptChunks, c.PromptChunks)
 	}
 	if c.events > 0 {
 		fmt.Fprintf(&b, "%s: %d\r\n", answer.HeaderLastEventID, c.events)
 	}
 	if c.client.generator.randomBelow(chunkedOneIn) == 0 {
 		half := len(body) / 2
-		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", half, body[:half],
-			len(body)-half, body[half:])
+		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+		for _, chunk := range [][]byte{body[:half], body[half:]} {
+			fmt.Fprintf(&b, "%x\r\n%s\r\n", len(chunk), chunk)
+		}
+		b.WriteString("0\r\n\r\n")
 		return b.Bytes()
 	}
 	fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", len(body))
@@ -136,7 +147,7 @@
 		return notExecuted
 	}
 	if head.StatusCode < http.StatusInternalServerError {
-		c.client.generator.stats.recordClientError(c.Route.Name, head.StatusCode)
+		c.client.generator.stats.recordClientError(c.Route.Name)
 		return clientError
 	}
 	return attemptFailed
--- a/internal/testkit/client/call.go
+++ b/internal/testkit/client/call.go
@@ -51,7 +51,10 @@
 	var last attemptResult
 	for attempt := 0; ; attempt++ {
 		last = c.attempt(ctx, attempt > 0)
-		if last == succeeded || attempt >= wanted.Route.MaxRetries || !c.mayRetry(last) || !c.waitBeforeRetry(ctx, last) {
+		if last == succeeded || attempt >= wanted.Route.MaxRetries || !c.mayRetry(last) {
+			break
+		}
+		if !c.waitBeforeRetry(ctx, last) {
 			break
 		}
 		g.stats.recordRetry()
@@ -106,7 +109,9 @@
 	if !c.Route.Stream {
 		return c.deadline
 	}
-	until := time.Now().Add(max(minReadTimeout, latencyTargetMultiple*c.Route.LatencyTarget, eventGapMultiple*c.Route.MaxEventGap))
+	latencyBound := latencyTargetMultiple * c.Route.LatencyTarget
+	gapBound := eventGapMultiple * c.Route.MaxEventGap
+	until := time.Now().Add(max(minReadTimeout, latencyBound, gapBound))
 	if until.Before(c.deadline) {
 		return until
 	}
--- a/internal/testkit/client/client.go
+++ b/internal/testkit/client/client.go
@@ -45,7 +45,7 @@
 
 // Options configure a load generator.
 type Options struct {
-	RegionOfZone   map[string]string // by zone
+	RegionOfZone   map[string]string // each zone has clients
 	Directories    func(zone string) []netip.AddrPort
 	FixedAddress   string        // host:port that all calls go to; empty: looked up in a directory
 	ClientsPerZone int           // 0: 10
@@ -81,11 +81,21 @@
 	if options.ClientsPerZone == 0 {
 		options.ClientsPerZone = defaultClients
 	}
-	g := &LoadGenerator{options: options, clients: make(map[string][]*client), random: rand.New(rand.NewPCG(options.Seed, 5))}
+	g := &LoadGenerator{
+		options: options,
+		clients: make(map[string][]*client),
+		random:  rand.New(rand.NewPCG(options.Seed, 5)),
+	}
 	g.stats.routes = make(map[string]*RouteStats)
 	for zone, region := range options.RegionOfZone {
 		for i := range options.ClientsPerZone {
-			c := &client{generator: g, zone: zone, region: region, keepsConnections: i%keepAliveOneIn == 0, ttlMultiple: 1}
+			c := &client{
+				generator:        g,
+				zone:             zone,
+				region:           region,
+				keepsConnections: i%keepAliveOneIn == 0,
+				ttlMultiple:      1,
+			}
 			if i%longTTLOneIn == longTTLOneIn-1 {
 				c.ttlMultiple = longTTLMultiple
 			}
--- a/internal/testkit/client/client_test.go
+++ b/internal/testkit/client/client_test.go
@@ -46,21 +46,36 @@
 }
 
 func streamRoute() *Route {
-	return &Route{Name: "streams", Host: "h.example", Path: "/s/1", Stream: true, LatencyTarget: 10 * time.Second,
-		Deadline:     20 * time.Second,
-		CheckerRoute: &checker.Route{Name: "streams", Services: []string{"llm"}}}
+	return &Route{
+		Name:          "streams",
+		Host:          "h.example",
+		Path:          "/s/1",
+		Stream:        true,
+		LatencyTarget: 10 * time.Second,
+		Deadline:      20 * time.Second,
+		CheckerRoute:  &checker.Route{Name: "streams", Services: []string{"llm"}},
+	}
 }
 
 func bodyRoute() *Route {
-	return &Route{Name: "bodies", Host: "h.example", Path: "/b/1", ReadOnly: true, LatencyTarget: 10 * time.Second,
-		Deadline:     20 * time.Second,
-		CheckerRoute: &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true}}
+	return &Route{
+		Name:          "bodies",
+		Host:          "h.example",
+		Path:          "/b/1",
+		ReadOnly:      true,
+		LatencyTarget: 10 * time.Second,
+		Deadline:      20 * time.Second,
+		CheckerRoute:  &checker.Route{Name: "bodies", Services: []string{"llm", "api"}, Idempotent: true},
+	}
 }
 
 func newCall(route *Route) *Call {
 	c := &Call{Route: route, Zone: "a", BodyBytes: 300}
 	if route.Stream {
-		c.Model, c.PromptChunks, c.PromptTokens, c.MaxOutputTokens = "m", "a:20,b:10", 30, 12
+		c.Model = "m"
+		c.PromptChunks = "a:20,b:10"
+		c.PromptTokens = 30
+		c.MaxOutputTokens = 12
 	}
 	return c
 }
@@ -156,7 +171,9 @@
 func TestResumableStreamRetriesAfterTruncation(t *testing.T) {
 	w, r := newTestbedWithRunner(t, "llm")
 	route := streamRoute()
-	route.Resumable, route.MaxRetries, route.CheckerRoute.Idempotent = true, 1, true
+	route.Resumable = true
+	route.MaxRetries = 1
+	route.CheckerRoute.Idempotent = true
 	r.SetFaults(runner.Faults{Truncate: 1, MaxFaults: 1})
 	if got := w.call(route); got != InTime {
 		t.Errorf("outcome %d", got)
@@ -212,7 +229,12 @@
 		w.Write(body)
 	}
 	changed := func(w http.ResponseWriter, q *http.Request) {
-		seal(w, answer.Seal{Size: 1, Checksum: answer.Checksum([]byte("x")), AttemptID: q.Header.Get(answer.HeaderAttemptID), ExecutionID: "r"})
+		seal(w, answer.Seal{
+			Size:        1,
+			Checksum:    answer.Checksum([]byte("x")),
+			AttemptID:   q.Header.Get(answer.HeaderAttemptID),
+			ExecutionID: "r",
+		})
 		w.Write([]byte("y"))
 	}
 	twoRuns := func(w http.ResponseWriter, q *http.Request) {
--- a/internal/testkit/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -50,7 +50,8 @@
 	for len(c.idle) > 0 {
 		idle := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if !idle.idleUntil.IsZero() && time.Now().After(idle.idleUntil) || !c.checkIdle(idle) {
+		expired := !idle.idleUntil.IsZero() && time.Now().After(idle.idleUntil)
+		if expired || !c.checkIdle(idle) {
 			idle.Close()
 			continue
 		}
@@ -62,7 +63,8 @@
 // checkIdle reports whether an idle connection is open and has received nothing; bytes that nobody asked for are a
 // violation.
 func (c *client) checkIdle(idle *conn) bool {
-	unread, open := idle.reader.Buffered(), true
+	unread := idle.reader.Buffered()
+	open := true
 	if raw, err := idle.Conn.(*net.TCPConn).SyscallConn(); err == nil && unread == 0 {
 		err = raw.Control(func(fd uintptr) {
 			var peeked int
--- a/internal/testkit/client/lookup.go
+++ b/internal/testkit/client/lookup.go
@@ -25,8 +25,8 @@
 
 // pickAddress returns a random address of those that haven't failed since the last lookup.
 func (c *client) pickAddress(ctx context.Context, host string) (string, error) {
-	if front := c.generator.options.FixedAddress; front != "" {
-		return front, nil
+	if address := c.generator.options.FixedAddress; address != "" {
+		return address, nil
 	}
 	c.refreshAddresses(ctx, host)
 	c.mutex.Lock()
@@ -92,12 +92,13 @@
 // storeAddresses stores a lookup and closes idle connections to addresses that it no longer has.
 func (c *client) storeAddresses(found *lookupAnswer) {
 	ttl := time.Duration(found.TTL * float64(time.Second))
-	if most := c.generator.options.MaxTTL; most > 0 {
-		ttl = min(ttl, most)
+	if maxTTL := c.generator.options.MaxTTL; maxTTL > 0 {
+		ttl = min(ttl, maxTTL)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.addresses, c.failedAddresses = found.Addresses, nil
+	c.addresses = found.Addresses
+	c.failedAddresses = nil
 	c.addressesExpireAt = time.Now().Add(ttl * time.Duration(c.ttlMultiple))
 	c.idle = slices.DeleteFunc(c.idle, func(idle *conn) bool {
 		gone := !slices.Contains(found.Addresses, idle.address)
--- a/internal/testkit/client/stats.go
+++ b/internal/testkit/client/stats.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 )
@@ -114,7 +116,7 @@
 	})
 }
 
-func (s *statsRecorder) recordClientError(route string, _ int) {
+func (s *statsRecorder) recordClientError(route string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.route(route).ClientErrors++
@@ -126,20 +128,13 @@
 	defer g.stats.mutex.Unlock()
 	total := g.stats.total
 	total.Statuses = make(map[int]int)
-	for status, n := range g.stats.total.Statuses {
-		total.Statuses[status] = n
-	}
+	maps.Copy(total.Statuses, g.stats.total.Statuses)
 	for _, r := range g.stats.routes {
 		one := *r
 		one.latencies = slices.Clone(r.latencies)
 		total.Routes = append(total.Routes, one)
 	}
-	slices.SortFunc(total.Routes, func(a, b RouteStats) int {
-		if a.Name < b.Name {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(total.Routes, func(a, b RouteStats) int { return strings.Compare(a.Name, b.Name) })
 	return total
 }
 
--- a/internal/testkit/client/stream.go
+++ b/internal/testkit/client/stream.go
@@ -18,23 +18,25 @@
 
 // readStream reads events until the stream ends.
 func (c *callState) readStream(conn *conn, head *http.Response, seal answer.Seal, id string) attemptResult {
+	report := c.client.generator.report
 	if !seal.Stream || seal.AttemptID != id {
-		c.client.generator.report(checker.MisdeliveredAnswer, "the seal of attempt %s came for attempt %s", seal.AttemptID, id)
+		report(checker.MisdeliveredAnswer, "the seal of attempt %s came for attempt %s", seal.AttemptID, id)
 	}
 	if c.totalEvents != 0 && seal.Size != c.totalEvents {
-		c.client.generator.report(checker.StreamOrder, "attempt %s goes on with %d events where there were %d", id, seal.Size, c.totalEvents)
+		report(checker.StreamOrder, "attempt %s goes on with %d events where there were %d", id, seal.Size, c.totalEvents)
 	}
 	c.totalEvents = seal.Size
 	c.executionID = ""
 	err := c.readEvents(conn, bufio.NewReader(head.Body), id)
 	switch {
 	case errors.Is(err, errStreamOrder):
-		c.client.generator.report(checker.StreamOrder, "%v", err)
+		report(checker.StreamOrder, "%v", err)
 		return attemptFailed
 	case err != nil:
 		return c.connectionFailed(conn, err)
 	case c.events < c.totalEvents:
-		c.client.generator.report(checker.StreamOrder, "the stream of attempt %s ended as complete after event %d of %d", id, c.events, c.totalEvents)
+		report(checker.StreamOrder, "the stream of attempt %s ended as complete after event %d of %d",
+			id, c.events, c.totalEvents)
 		return attemptFailed
 	}
 	return succeeded
@@ -51,11 +53,11 @@
 			return io.ErrUnexpectedEOF
 		}
 		line = strings.TrimRight(line, "\r\n")
-		if rest, is := strings.CutPrefix(line, "id: "); is {
+		if rest, found := strings.CutPrefix(line, "id: "); found {
 			eventID = rest
 		}
-		data, is := strings.CutPrefix(line, "data: ")
-		if !is {
+		data, found := strings.CutPrefix(line, "data: ")
+		if !found {
 			continue
 		}
 		if err := c.handleEvent(eventID, data, id); err != nil {
@@ -72,11 +74,12 @@
 		return fmt.Errorf("%w: attempt %s: %w", errStreamOrder, id, err)
 	}
 	if event.Index != c.events+1 || event.Total != c.totalEvents {
-		return fmt.Errorf("%w: attempt %s: event %d of %d came after %d of %d", errStreamOrder, id, event.Index, event.Total, c.events,
-			c.totalEvents)
+		return fmt.Errorf("%w: attempt %s: event %d of %d came after %d of %d",
+			errStreamOrder, id, event.Index, event.Total, c.events, c.totalEvents)
 	}
 	if c.executionID != "" && event.ExecutionID != c.executionID && !c.Route.Resumable {
-		return fmt.Errorf("%w: attempt %s: an event of execution %s came after one of execution %s", errStreamOrder, id, event.ExecutionID, c.executionID)
+		return fmt.Errorf("%w: attempt %s: an event of execution %s came after one of execution %s",
+			errStreamOrder, id, event.ExecutionID, c.executionID)
 	}
 	now := time.Now()
 	if c.events == 0 {
@@ -84,6 +87,8 @@
 	} else {
 		c.longestGap = max(c.longestGap, now.Sub(c.lastEventAt))
 	}
-	c.events, c.executionID, c.lastEventAt = event.Index, event.ExecutionID, now
+	c.events = event.Index
+	c.executionID = event.ExecutionID
+	c.lastEventAt = now
 	return nil
 }
--- a/internal/testkit/fakeplatform/page.go
+++ b/internal/testkit/fakeplatform/page.go
@@ -49,14 +49,10 @@
 		http.NotFound(w, request)
 		return
 	}
-	first := 0
-	if token := request.URL.Query().Get("page_token"); token != "" {
-		n, err := strconv.Atoi(strings.TrimPrefix(token, pagePrefix))
-		if err != nil || n < 0 || !strings.HasPrefix(token, pagePrefix) {
-			http.Error(w, "page_token is none of ours", http.StatusBadRequest)
-			return
-		}
-		first = n
+	first, ok := parsePageToken(request.URL.Query().Get("page_token"))
+	if !ok {
+		http.Error(w, "page_token is none of ours", http.StatusBadRequest)
+		return
 	}
 	answer, status := p.makePage(request.URL.Query().Get("zone"), first)
 	if status != http.StatusOK {
@@ -67,6 +63,16 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
+// parsePageToken returns the index of a page's first entry; an empty token stands for the first page.
+func parsePageToken(token string) (first int, ok bool) {
+	if token == "" {
+		return 0, true
+	}
+	digits, found := strings.CutPrefix(token, pagePrefix)
+	first, err := strconv.Atoi(digits)
+	return first, found && err == nil && first >= 0
+}
+
 // makePage returns the page from the entry with index first on, and the HTTP status.
 func (p *Platform) makePage(zone string, first int) (*pageDocument, int) {
 	p.mutex.Lock()
@@ -114,9 +120,16 @@
 }
 
 func (e *Entry) instance(now time.Time) instanceDocument {
-	i := instanceDocument{Service: e.Service, Address: e.Address.String(), Zone: e.Zone, Version: "v1", Capacity: e.Capacity,
-		State: "serving",
-		ID:    e.ID, SlowStartRemaining: max(0, e.SlowStartUntil.Sub(now).Milliseconds())}
+	i := instanceDocument{
+		ID:                 e.ID,
+		Service:            e.Service,
+		Address:            e.Address.String(),
+		Zone:               e.Zone,
+		Version:            "v1",
+		Capacity:           e.Capacity,
+		State:              "serving",
+		SlowStartRemaining: max(0, e.SlowStartUntil.Sub(now).Milliseconds()),
+	}
 	if e.Draining {
 		i.State = "draining"
 	}
--- a/internal/testkit/fakeplatform/platform_test.go
+++ b/internal/testkit/fakeplatform/platform_test.go
@@ -112,12 +112,14 @@
 	c, time := startPlatform(t, Options{})
 	e := entry(1, "a")
 	e.Draining = true
-	e.SlowStartUntil, e.TerminatesAt = time.read().Add(2e9), time.read().Add(3e9)
+	e.SlowStartUntil = time.read().Add(2e9)
+	e.TerminatesAt = time.read().Add(3e9)
 	c.Set(e)
 	time.advance(1e9)
 	p, _ := getPage(t, c, "")
 	i := p.Instances[0]
-	if i.State != "draining" || i.SlowStartRemaining != 1000 || i.TimeToTermination == nil || *i.TimeToTermination != 2000 || i.Models[0].Name != "m" {
+	terminatesInTime := i.TimeToTermination != nil && *i.TimeToTermination == 2000
+	if i.State != "draining" || i.SlowStartRemaining != 1000 || !terminatesInTime || i.Models[0].Name != "m" {
 		t.Errorf("the entry is %+v", i)
 	}
 }
--- a/internal/testkit/mutate/mutate.go
+++ b/internal/testkit/mutate/mutate.go
@@ -59,6 +59,7 @@
 	Err      error
 }
 
+// String formats the report: a line for each kind of mutation, by name.
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d messages\n", r.Messages)
@@ -68,20 +69,23 @@
 	}
 	sort.Strings(kinds)
 	violations := map[string]int{}
-	for _, x := range r.Violations {
-		violations[kindOf(x.Mutation)]++
+	for _, violation := range r.Violations {
+		violations[kindOf(violation.Mutation)]++
 	}
 	for _, kind := range kinds {
-		fmt.Fprintf(&b, "%-12s %5d runs, %5d as without, %4d otherwise, %4d broke\n", kind, r.Runs[kind], r.SameOutcome[kind], r.OtherOutcome[kind], violations[kind])
+		fmt.Fprintf(&b, "%-12s %5d runs, %5d as without, %4d otherwise, %4d broke\n",
+			kind, r.Runs[kind], r.SameOutcome[kind], r.OtherOutcome[kind], violations[kind])
 	}
 	return b.String()
 }
 
+// kindOf returns the kind of a mutation: the first word of its description.
 func kindOf(mutation string) string { return strings.SplitN(mutation, " ", 2)[0] }
 
+// mutatedRun is a run to be executed: the recorded one with a mutation of one message.
 type mutatedRun struct {
-	message  int
-	mutation string
+	message  int    // number of the message
+	mutation string // description: the kind, and what the mutations of one kind differ in
 	tamper   Tamper
 }
 
@@ -100,38 +104,46 @@
 	for n := range messages {
 		runs = append(runs, mutations(messages, n, options)...)
 	}
-	report := &Report{Messages: len(messages), Runs: map[string]int{}, SameOutcome: map[string]int{}, OtherOutcome: map[string]int{}}
-	var mu sync.Mutex
-	var wg sync.WaitGroup
+	report := &Report{
+		Messages:     len(messages),
+		Runs:         map[string]int{},
+		SameOutcome:  map[string]int{},
+		OtherOutcome: map[string]int{},
+	}
+	var mutex sync.Mutex // guards report
+	var workers sync.WaitGroup
 	queue := make(chan mutatedRun)
 	for range max(options.Parallelism, 1) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for p := range queue {
-				outcome, err := run(p.tamper)
-				kind := kindOf(p.mutation)
-				mu.Lock()
-				report.Runs[kind]++
-				switch {
-				case err != nil:
-					report.Violations = append(report.Violations, Violation{p.message, p.mutation, err})
-				case outcome == baseline:
-					report.SameOutcome[kind]++
-				default:
-					report.OtherOutcome[kind]++
-				}
-				mu.Unlock()
+		workers.Go(func() {
+			for mutated := range queue {
+				outcome, err := run(mutated.tamper)
+				mutex.Lock()
+				report.add(&mutated, outcome == baseline, err)
+				mutex.Unlock()
 			}
-		}()
+		})
 	}
-	for i, p := range runs {
+	for i, mutated := range runs {
 		if i%max(options.Stride, 1) == 0 {
-			queue <- p
+			queue <- mutated
 		}
 	}
 	close(queue)
-	wg.Wait()
+	workers.Wait()
 	sort.Slice(report.Violations, func(i, j int) bool { return report.Violations[i].Message < report.Violations[j].Message })
 	return report, nil
 }
+
+// add counts a run. same is whether its outcome was that of the unchanged run; err is the invariant that it violated.
+func (r *Report) add(mutated *mutatedRun, same bool, err error) {
+	kind := kindOf(mutated.mutation)
+	r.Runs[kind]++
+	switch {
+	case err != nil:
+		r.Violations = append(r.Violations, Violation{mutated.message, mutated.mutation, err})
+	case same:
+		r.SameOutcome[kind]++
+	default:
+		r.OtherOutcome[kind]++
+	}
+}
