--- a/internal/testkit/processcluster/audit.go
+++ b/internal/testkit/processcluster/audit.go
@@ -50,5 +50,6 @@
 	if report.Attempts > 0 && report.Judged == 0 {
 		c.TB.Errorf("audit: none of %d sends could be judged: %v", report.Attempts, report.Inconclusive)
 	}
-	c.TB.Logf("audit: %d versions, %d of %d sends judged, %d late", len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
+	c.TB.Logf("audit: %d versions, %d of %d sends judged, %d late",
+		len(report.Versions), report.Judged, report.Attempts, len(report.Stragglers))
 }
--- a/internal/testkit/processcluster/cluster.go
+++ b/internal/testkit/processcluster/cluster.go
@@ -13,6 +13,7 @@
 package processcluster
 
 import (
+	"cmp"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -32,19 +33,19 @@
 	Program              string
 	Members              int
 	Runners              int
-	JobsPerSecond        float64 // submitted to each member; 0: 20
-	ProbeIntervalSeconds float64 // of the membership protocol; 0: 0.2
-	ClusterName          string  // empty: "rig"
-	Seed                 uint64  // of the relays; 0: 1
-	Standalone           bool    // no [fleet] section: dispatchers that don't know of each other
-	NoSeeds              bool    // members get no seed addresses
-	StartNone            bool    // members are added, but not started
-	InheritSocket        bool    // members inherit their listening socket, so that Upgrade can replace a process
-	InstanceCount        int     // nInstances in the settings; 0: Members
-	SlowStartSeconds     float64 // duration of slow start; 0: runners need none
-	RunnerSlots          float64 // concurrent jobs of a runner; 0: 4
-	JobSeconds           float64 // service time of a job; 0: 0.02
-	Timeout              time.Duration
+	JobsPerSecond        float64       // submitted to each member; 0: 20
+	ProbeIntervalSeconds float64       // of the membership protocol; 0: 0.2
+	ClusterName          string        // empty: "rig"
+	Seed                 uint64        // of the relays; 0: 1
+	Standalone           bool          // no [fleet] section: dispatchers that don't know of each other
+	NoSeeds              bool          // members get no seed addresses
+	StartNone            bool          // members are added, but not started
+	InheritSocket        bool          // members inherit their listening socket, so that Upgrade can replace a process
+	InstanceCount        int           // nInstances in the settings; 0: Members
+	SlowStartSeconds     float64       // duration of slow start; 0: runners need none
+	RunnerSlots          float64       // concurrent jobs of a runner; 0: 4
+	JobSeconds           float64       // service time of a job; 0: 0.02
+	Timeout              time.Duration // of each wait; 0: two minutes
 }
 
 // Cluster is the dispatchers and everything around them.
@@ -99,27 +100,14 @@
 }
 
 func (o *Options) setDefaults() {
-	set := func(v *float64, to float64) {
-		if *v == 0 {
-			*v = to
-		}
-	}
-	set(&o.JobsPerSecond, 20)
-	set(&o.ProbeIntervalSeconds, 0.2)
-	set(&o.RunnerSlots, 4)
-	set(&o.JobSeconds, 0.02)
-	if o.ClusterName == "" {
-		o.ClusterName = "rig"
-	}
-	if o.Seed == 0 {
-		o.Seed = 1
-	}
-	if o.InstanceCount == 0 {
-		o.InstanceCount = o.Members
-	}
-	if o.Timeout == 0 {
-		o.Timeout = 120 * time.Second
-	}
+	o.JobsPerSecond = cmp.Or(o.JobsPerSecond, 20)
+	o.ProbeIntervalSeconds = cmp.Or(o.ProbeIntervalSeconds, 0.2)
+	o.RunnerSlots = cmp.Or(o.RunnerSlots, 4)
+	o.JobSeconds = cmp.Or(o.JobSeconds, 0.02)
+	o.ClusterName = cmp.Or(o.ClusterName, "rig")
+	o.Seed = cmp.Or(o.Seed, 1)
+	o.InstanceCount = cmp.Or(o.InstanceCount, o.Members)
+	o.Timeout = cmp.Or(o.Timeout, 120*time.Second)
 }
 
 // Log writes a line to the cluster's own log.
@@ -142,12 +130,12 @@
 		if m.inheritedSocket != nil {
 			m.inheritedSocket.Close()
 		}
-		for _, s := range m.runnerRelays {
-			s.Close()
+		for _, relay := range m.runnerRelays {
+			relay.Close()
 		}
 	}
-	for _, u := range c.Runners {
-		u.close()
+	for _, runner := range c.Runners {
+		runner.close()
 	}
 	c.Discovery.close()
 	c.log.Close()
@@ -173,7 +161,7 @@
 	return addr
 }
 
-// Eventually polls until ok returns true, and fails the test after Options.Timeout. It returns the time taken.
+// Eventually polls until the condition holds, and fails the test after Options.Timeout. It returns the time taken.
 func (c *Cluster) Eventually(what string, condition func() bool) time.Duration {
 	c.TB.Helper()
 	started := time.Now()
@@ -209,21 +197,21 @@
 func (c *Cluster) Converged(members []*Member, alive int) bool {
 	digest := ""
 	for _, m := range members {
-		s := m.Status()
-		if s == nil || !s.Converged || digest != "" && s.Digest != digest {
+		status := m.Status()
+		if status == nil || !status.Converged || digest != "" && status.Digest != digest {
 			return false
 		}
-		digest = s.Digest
-		n := 0
-		for _, o := range s.Members {
-			switch o.State {
+		digest = status.Digest
+		count := 0
+		for _, other := range status.Members {
+			switch other.State {
 			case "alive":
-				n++
+				count++
 			case "suspect":
 				return false
 			}
 		}
-		if n != alive {
+		if count != alive {
 			return false
 		}
 	}
--- a/internal/testkit/processcluster/config.go
+++ b/internal/testkit/processcluster/config.go
@@ -25,8 +25,18 @@
 	if m.cluster.Standalone {
 		return ""
 	}
-	return fmt.Sprintf("[fleet]\nname = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\nperiod_s = %v\ndiscovery = \"rig\"\nlease_s = %v\n[request_log]\npath = %q\n", m.ClusterName, m.BindAddress, m.Relay.Addr(),
-		quoteAll(m.cluster.seedAddresses(m)), m.cluster.ProbeIntervalSeconds, LeaseSeconds, m.path+".requests")
+	var b strings.Builder
+	b.WriteString("[fleet]\n")
+	fmt.Fprintf(&b, "name = %q\n", m.ClusterName)
+	fmt.Fprintf(&b, "bind = %q\n", m.BindAddress)
+	fmt.Fprintf(&b, "advertise = %q\n", m.Relay.Addr())
+	fmt.Fprintf(&b, "seeds = [%s]\n", quoteAll(m.cluster.seedAddresses(m)))
+	fmt.Fprintf(&b, "period_s = %v\n", m.cluster.ProbeIntervalSeconds)
+	b.WriteString("discovery = \"rig\"\n")
+	fmt.Fprintf(&b, "lease_s = %v\n", LeaseSeconds)
+	b.WriteString("[request_log]\n")
+	fmt.Fprintf(&b, "path = %q\n", m.path+".requests")
+	return b.String()
 }
 
 // ChangeBindAddress gives the member another bind address with a new relay, and returns the operator configuration
@@ -34,10 +44,10 @@
 func (m *Member) ChangeBindAddress() string {
 	m.BindAddress = m.cluster.freePort()
 	m.Relay.Close()
-	var err error
-	m.Relay, err = receivers.NewUDPRelay(m.Name, netip.MustParseAddrPort(m.BindAddress), m.cluster.Seed, m.cluster.Log)
+	bindAddress := netip.MustParseAddrPort(m.BindAddress)
+	relay, err := receivers.NewUDPRelay(m.Name, bindAddress, m.cluster.Seed, m.cluster.senderName, m.cluster.Log)
 	m.cluster.must(err)
-	m.Relay.SenderOf = m.cluster.senderName
+	m.Relay = relay
 	return m.OperatorConfig()
 }
 
@@ -51,25 +61,60 @@
 
 // WriteConfig writes the member's files; operator is the contents of the operator configuration.
 func (m *Member) WriteConfig(operator string) {
+	config := map[string]any{
+		"name":      m.Name,
+		"listen":    m.ListenAddress,
+		"console":   m.AdminAddress,
+		"discovery": m.discoveryRelay.Addr(),
+		"seed":      fmt.Sprintf("%x", 77+m.Index),
+		"limits":    map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512},
+		"known":     map[string]any{"rev": 0, "all": true, "targets": []any{}},
+		"settings":  m.settings(),
+	}
+	text, err := json.Marshal(config)
+	m.cluster.must(err)
+	m.cluster.must(os.WriteFile(m.path+".json", text, 0o600))
+	m.cluster.must(os.WriteFile(m.path+".toml", []byte(operator), 0o600))
+}
+
+// settings returns the part of the configuration that the members share, but for "me" and "zone".
+func (m *Member) settings() map[string]any {
 	c := m.cluster
-	settings := map[string]any{
+	return map[string]any{
 		"categories": []map[string]any{
 			{"name": "score", "deadlineS": 5, "objectiveS": 0.5, "repeat": "retryable", "windowS": 5, "worth": 3},
-			{"name": "once", "deadlineS": 5, "objectiveS": 0.5, "repeat": "fragile", "worth": 10}},
-		"failureDomains": []string{"milano", "torino"}, "kinds": []string{"two-core"},
-		"familyInfo": map[string]any{"tellsStart": true, "reportX0": "free slots"},
-		"guarantees": map[string]any{"answerSlackS": 0.016, "askWithinS": 10, "coldS": c.slowStartSeconds(), "coldShare": 0.34, "drainGraceS": 0.3,
-			"fallMultiple": overloadMultiple, "fallS": overloadWindowSeconds},
-		"limits": map[string]any{"attemptsCap": 4, "connIdleS": 60, "connectTimeoutS": 0.25, "mayCancel": true, "mayProbe": true,
-			"parallelTries": true, "retryAfter": true, "maxRetryAfterS": 2},
-		"me": m.Index % c.InstanceCount, "nInstances": c.InstanceCount, "membershipMode": "pushed",
-		"report": map[string]any{"fields": []string{"utilization", "backlog", "outstanding", "x0"}, "via": "piggyback"},
-		"tickS":  0.004, "zone": m.Index % 2}
-	config := map[string]any{"name": m.Name, "listen": m.ListenAddress, "console": m.AdminAddress, "discovery": m.discoveryRelay.Addr(),
-		"seed": fmt.Sprintf("%x", 77+m.Index), "limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512},
-		"known": map[string]any{"rev": 0, "all": true, "targets": []any{}}, "settings": settings}
-	text, err := json.Marshal(config)
-	c.must(err)
-	c.must(os.WriteFile(m.path+".json", text, 0o600))
-	c.must(os.WriteFile(m.path+".toml", []byte(operator), 0o600))
+			{"name": "once", "deadlineS": 5, "objectiveS": 0.5, "repeat": "fragile", "worth": 10},
+		},
+		"failureDomains": failureDomains,
+		"kinds":          []string{runnerModel},
+		"familyInfo":     map[string]any{"tellsStart": true, "reportX0": "free slots"},
+		"guarantees": map[string]any{
+			"answerSlackS": 0.016,
+			"askWithinS":   10,
+			"coldS":        c.slowStartSeconds(),
+			"coldShare":    slowStartShare,
+			"drainGraceS":  drainGraceSeconds,
+			"fallMultiple": overloadMultiple,
+			"fallS":        overloadWindowSeconds,
+		},
+		"limits": map[string]any{
+			"attemptsCap":     4,
+			"connIdleS":       60,
+			"connectTimeoutS": 0.25,
+			"mayCancel":       true,
+			"mayProbe":        true,
+			"parallelTries":   true,
+			"retryAfter":      true,
+			"maxRetryAfterS":  2,
+		},
+		"me":             m.Index % c.InstanceCount,
+		"nInstances":     c.InstanceCount,
+		"membershipMode": "pushed",
+		"report": map[string]any{
+			"fields": []string{"utilization", "backlog", "outstanding", "x0"},
+			"via":    "piggyback",
+		},
+		"tickS": 0.004,
+		"zone":  m.Index % len(failureDomains),
+	}
 }
--- a/internal/testkit/processcluster/jobs.go
+++ b/internal/testkit/processcluster/jobs.go
@@ -18,26 +18,30 @@
 	jobBudgetMS           = 4000
 	// maxOpenJobs bounds the jobs in flight at a member. Beyond half of the sockets that it allows for one address
 	// the admission limit rejects connections, which is tested elsewhere.
-	maxOpenJobs = 100
-	// The protocol gives 0.3 s after a drain notice; the rest allows for a runner process that wasn't scheduled.
-	drainGraceSeconds = 0.3 + 1.0
+	maxOpenJobs          = 100
+	drainGraceSeconds    = 0.3 // that the protocol gives after a drain notice
+	drainScheduleSeconds = 1.0 // more that is allowed for a runner that wasn't scheduled
+	maxLoggedViolations  = 20
 )
 
 // jobLog records the outcomes of jobs and violations of the job rules.
 type jobLog struct {
 	mutex      sync.Mutex
-	outcomes   map[string]int
-	executions map[string]int
+	outcomes   map[string]int // by served, refused or failed
+	executions map[string]int // by job
 	violations []string
 	unknown    int // jobs whose dispatcher was killed or stopped meanwhile
 }
 
-func (b *jobLog) init() { b.outcomes, b.executions = map[string]int{}, map[string]int{} }
+func (b *jobLog) init() {
+	b.outcomes = map[string]int{}
+	b.executions = map[string]int{}
+}
 
 func (b *jobLog) addViolation(format string, a ...any) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if len(b.violations) < 20 {
+	if len(b.violations) < maxLoggedViolations {
 		b.violations = append(b.violations, fmt.Sprintf(format, a...))
 	}
 }
@@ -45,7 +49,7 @@
 func (b *jobLog) recordExecution(id, class string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.executions[id]++; b.executions[id] > 1 && class == "once" && len(b.violations) < 20 {
+	if b.executions[id]++; b.executions[id] > 1 && class == "once" && len(b.violations) < maxLoggedViolations {
 		b.violations = append(b.violations, id+", which must not be repeated, was run again")
 	}
 }
@@ -85,14 +89,16 @@
 }
 
 func (m *Member) submitJob(id, class string) {
-	jobs, deaths := &m.cluster.jobs, m.interruptions.Load()
+	jobs := &m.cluster.jobs
+	interruptions := m.interruptions.Load()
 	started := time.Now()
 	request, err := http.NewRequest("POST", "http://"+m.ListenAddress+"/"+class+"/7f3a", bytes.NewReader([]byte("payload")))
 	m.cluster.must(err)
-	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Budget-Ms": fmt.Sprint(jobBudgetMS),
-		"Idempotency-Key": id, "X-Call-Info": "slots=1,memory=0.5"} {
-		request.Header.Set(name, value)
-	}
+	request.Header.Set("X-Call-Id", id)
+	request.Header.Set("X-Call-Class", class)
+	request.Header.Set("X-Call-Info", "slots=1,memory=0.5")
+	request.Header.Set("X-Budget-Ms", fmt.Sprint(jobBudgetMS))
+	request.Header.Set("Idempotency-Key", id)
 	answer, err := m.client.Do(request)
 	var body []byte
 	if err == nil {
@@ -100,7 +106,7 @@
 		answer.Body.Close()
 	}
 	switch {
-	case err != nil && (m.interruptions.Load() != deaths || m.cluster.ending.Load()):
+	case err != nil && (m.interruptions.Load() != interruptions || m.cluster.ending.Load()):
 		jobs.mutex.Lock()
 		jobs.unknown++
 		jobs.mutex.Unlock()
@@ -139,7 +145,8 @@
 		c.TB.Error(f)
 	}
 	all := b.outcomes["served"] + b.outcomes["refused"] + b.outcomes["failed"]
-	c.TB.Logf("jobs: %d served, %d refused, %d failed; %d were at a dispatcher that was killed or stopped", b.outcomes["served"], b.outcomes["refused"], b.outcomes["failed"], b.unknown)
+	c.TB.Logf("jobs: %d served, %d refused, %d failed; %d were at a dispatcher that was killed or stopped",
+		b.outcomes["served"], b.outcomes["refused"], b.outcomes["failed"], b.unknown)
 	if all == 0 || b.outcomes["served"]*2 < all {
 		c.TB.Errorf("%d of %d jobs were served", b.outcomes["served"], all)
 	}
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -33,8 +33,8 @@
 	exited          chan struct{}
 	path            string // of its files, without extension
 	logPath         string
-	clientsStopped  atomic.Bool // clients submit nothing
-	interruptions   atomic.Int64
+	clientsStopped  atomic.Bool           // clients submit nothing
+	interruptions   atomic.Int64          // kills, pauses and continuations of the process
 	runnerRelays    []*receivers.TCPRelay // by index in Cluster.Runners
 	discoveryRelay  *receivers.TCPRelay
 	client          *http.Client
@@ -46,9 +46,17 @@
 // AddMember adds a member without starting it.
 func (c *Cluster) AddMember() *Member {
 	index := len(c.Members)
-	member := &Member{Name: fmt.Sprintf("d%02d", index), Index: index, cluster: c, ListenAddress: c.freePort(), AdminAddress: c.freePort(), BindAddress: c.freePort(), ClusterName: c.ClusterName}
+	member := &Member{
+		Name:          fmt.Sprintf("d%02d", index),
+		Index:         index,
+		ListenAddress: c.freePort(),
+		AdminAddress:  c.freePort(),
+		BindAddress:   c.freePort(),
+		ClusterName:   c.ClusterName,
+		cluster:       c,
+		client:        &http.Client{Timeout: 90 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 	member.path = filepath.Join(c.dir, member.Name)
-	member.client = &http.Client{Timeout: 90 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	member.clientsStopped.Store(true)
 	var err error
 	if c.InheritSocket {
@@ -58,9 +66,9 @@
 		c.must(err)
 		l.Close()
 	}
-	member.Relay, err = receivers.NewUDPRelay(member.Name, netip.MustParseAddrPort(member.BindAddress), c.Seed+uint64(index), c.Log)
+	bindAddress := netip.MustParseAddrPort(member.BindAddress)
+	member.Relay, err = receivers.NewUDPRelay(member.Name, bindAddress, c.Seed+uint64(index), c.senderName, c.Log)
 	c.must(err)
-	member.Relay.SenderOf = c.senderName
 	member.discoveryRelay, err = receivers.NewTCPRelay(member.Name+" -> discovery", "127.0.0.1:0", c.Discovery.listen(member), c.Log)
 	c.must(err)
 	for _, runner := range c.Runners {
--- a/internal/testkit/processcluster/process.go
+++ b/internal/testkit/processcluster/process.go
@@ -23,7 +23,10 @@
 	c.must(err)
 	cmd := exec.Command(c.Program, "--config", m.path+".json", "--operator", m.path+".toml", "--log", "debug")
 	cmd.Stderr = log
-	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir, "ROUTER_CONFIG=", "ROUTER_CONSOLE=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	cmd.Env = append(os.Environ(), "TMPDIR="+c.dir)
+	for _, name := range []string{"CONFIG", "CONSOLE", "LISTEN", "DISCOVERY", "NAME"} { // the machine's must not apply
+		cmd.Env = append(cmd.Env, "ROUTER_"+name+"=")
+	}
 	if m.inheritedSocket != nil {
 		cmd.ExtraFiles = []*os.File{m.inheritedSocket}
 		cmd.Env = append(cmd.Env, "ROUTER_FD=3")
@@ -31,11 +34,13 @@
 	c.must(cmd.Start())
 	log.Close()
 	c.Log(fmt.Sprintf("%s: process %d", m.Name, cmd.Process.Pid))
-	m.cmd, m.exited = cmd, make(chan struct{})
-	go func(exited chan struct{}) {
+	exited := make(chan struct{})
+	m.cmd = cmd
+	m.exited = exited
+	go func() {
 		_ = cmd.Wait()
 		close(exited)
-	}(m.exited)
+	}()
 }
 
 // WaitServing waits until the member serves, and starts its clients.
@@ -59,8 +64,10 @@
 // and terminates the old one. The functions in meanwhile run between the start and the wait.
 func (m *Member) Upgrade(meanwhile ...func()) {
 	m.cluster.TB.Helper()
-	old, exited := m.cmd, m.exited
-	m.previousProcess, m.previousExited = old, exited
+	old := m.cmd
+	exited := m.exited
+	m.previousProcess = old
+	m.previousExited = exited
 	m.AdminAddress = m.cluster.freePort()
 	m.Start()
 	for _, do := range meanwhile {
@@ -70,7 +77,8 @@
 		code, _ := m.CallAdmin("GET", "/api/ready", "")
 		return code == 200
 	})
-	if len(meanwhile) > 0 { // the new process may have failed and the old one continued, which is then terminated without clients
+	if len(meanwhile) > 0 {
+		// The new process may have failed and the old one continued, which is then terminated without clients.
 		m.clientsStopped.Store(true)
 	}
 	m.cluster.must(old.Process.Signal(syscall.SIGTERM))
@@ -126,11 +134,17 @@
 }
 
 // Pause stops the process (SIGSTOP) until Continue. Its clients wait.
-func (m *Member) Pause() { m.interruptions.Add(1); m.signal(syscall.SIGSTOP) }
+func (m *Member) Pause() {
+	m.interruptions.Add(1)
+	m.signal(syscall.SIGSTOP)
+}
 
 // Continue resumes a paused process (SIGCONT). The outcome of jobs that were submitted during the pause counts as
-// unknown: there may be more than one address may have open at the admission limit.
-func (m *Member) Continue() { m.interruptions.Add(1); m.signal(syscall.SIGCONT) }
+// unknown: there may be more of them than the admission limit allows for one address.
+func (m *Member) Continue() {
+	m.interruptions.Add(1)
+	m.signal(syscall.SIGCONT)
+}
 
 // Terminate stops the clients, sends SIGTERM and waits for the process to end.
 func (m *Member) Terminate() {
--- a/internal/testkit/processcluster/runner.go
+++ b/internal/testkit/processcluster/runner.go
@@ -4,18 +4,33 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
 	"time"
 )
 
+// The states of a runner in discovery.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone" // not on the list
+)
+
+const (
+	runnerModel             = "two-core"
+	queuePlacesPerSlot      = 2
+	defaultSlowStartSeconds = 9 // in the settings, if no runner needs slow start
+)
+
+// failureDomains are the zones of the runners.
+var failureDomains = []string{"milano", "torino"}
+
 func (c *Cluster) slowStartSeconds() float64 {
 	if c.SlowStartSeconds > 0 {
 		return c.SlowStartSeconds
 	}
-	return 9
+	return defaultSlowStartSeconds
 }
 
 // Runner is a fake runner that executes jobs in slots. During slow start it bears no more than the settings promise:
@@ -33,7 +48,7 @@
 	running       int
 	waiting       int
 	slots         chan bool
-	servers       []*http.Server
+	servers       memberServers
 	client        *http.Client
 	recentWork    []workItem // within overloadWindowSeconds
 	overloaded    bool
@@ -52,30 +67,38 @@
 }
 
 func newRunner(c *Cluster, index int) *Runner {
-	runner := &Runner{Name: fmt.Sprintf("s-%02d", index), cluster: c, failureDomain: index % 2, state: "ready", slots: make(chan bool, int(c.RunnerSlots)), WorkByMember: map[string]float64{},
-		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	runner := &Runner{
+		Name:          fmt.Sprintf("s-%02d", index),
+		cluster:       c,
+		failureDomain: index % len(failureDomains),
+		state:         stateReady,
+		slots:         make(chan bool, int(c.RunnerSlots)),
+		WorkByMember:  map[string]float64{},
+		client: &http.Client{
+			Timeout:   10 * time.Second,
+			Transport: &http.Transport{MaxIdleConnsPerHost: 64},
+		},
+	}
 	runner.ctx, runner.cancel = context.WithCancel(context.Background())
 	if c.SlowStartSeconds > 0 {
-		runner.startedAt, runner.slowStart = time.Now(), true
+		runner.startedAt = time.Now()
+		runner.slowStart = true
 	}
 	return runner
 }
 
 // listen opens a port for the jobs of a member, so that the sender is known.
 func (r *Runner) listen(member *Member) string {
-	l, err := net.Listen("tcp", "127.0.0.2:0")
+	address, err := r.servers.listen("127.0.0.2", func(writer http.ResponseWriter, request *http.Request) {
+		r.serve(member, writer, request)
+	})
 	r.cluster.must(err)
-	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) { r.serve(member, rw, q) })}
-	r.servers = append(r.servers, s)
-	go func() { _ = s.Serve(l) }()
-	return l.Addr().String()
+	return address
 }
 
 func (r *Runner) close() {
 	r.cancel()
-	for _, s := range r.servers {
-		s.Close()
-	}
+	r.servers.close()
 	r.jobs.Wait()
 }
 
@@ -104,27 +127,42 @@
 func (r *Runner) Restart() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.state, r.startedAt, r.slowStart, r.overloaded, r.peakShare, r.WorkSeconds, r.recentWork = "ready", time.Now(), true, false, 0, 0, nil
+	r.state = stateReady
+	r.startedAt = time.Now()
+	r.slowStart = true
+	r.overloaded = false
+	r.peakShare = 0
+	r.recentWork = nil
+	r.WorkSeconds = 0
 	clear(r.WorkByMember)
 }
 
 // LoadSinceStart returns the largest share of the slow start limit that was used since the start, the work accepted
 // since then in seconds, and whether the runner became overloaded.
-func (r *Runner) LoadSinceStart() (worst, work float64, fallen bool) {
+func (r *Runner) LoadSinceStart() (peakShare, work float64, overloaded bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.peakShare, r.WorkSeconds, r.overloaded
 }
 
-func (r *Runner) entry(endpoint string) (entry map[string]any, listed bool) {
+// target returns the runner's entry on the list of discovery, with the address at which the reader of the list reaches
+// it; listed is false if it is not on the list.
+func (r *Runner) target(endpoint string) (entry target, listed bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	boot := int64(0)
+	entry = target{
+		Zone:          failureDomains[r.failureDomain],
+		CapacityHint:  1,
+		Endpoint:      endpoint,
+		Model:         runnerModel,
+		FailureDomain: r.failureDomain,
+		State:         r.state,
+		Name:          r.Name,
+	}
 	if r.slowStart {
-		boot = r.startedAt.UnixMilli()
+		entry.StartedAt = r.startedAt.UnixMilli()
 	}
-	return map[string]any{"uid": r.Name, "endpoint": endpoint, "az": []string{"milano", "torino"}[r.failureDomain], "model": "two-core", "pod_group": r.failureDomain,
-		"state": r.state, "capacity_hint": 1, "boot_ms": boot}, r.state != "gone"
+	return entry, r.state != stateGone
 }
 
 // accept counts a job; false if the runner is overloaded.
@@ -134,8 +172,9 @@
 	if r.overloaded {
 		return false
 	}
+	now := time.Now()
+	work := r.cluster.JobSeconds
 	r.JobCount++
-	now, work := time.Now(), r.cluster.JobSeconds
 	r.lastJobAt = now
 	r.WorkSeconds += work
 	r.WorkByMember[member.Name] += work
@@ -144,17 +183,8 @@
 		return true
 	}
 	r.recentWork = append(r.recentWork, workItem{now, work})
-	sum := 0.0
-	keep := r.recentWork[:0]
-	for _, s := range r.recentWork {
-		if now.Sub(s.at).Seconds() < overloadWindowSeconds {
-			keep = append(keep, s)
-			sum += s.work
-		}
-	}
-	r.recentWork = keep
 	capacity := r.cluster.RunnerSlots * (slowStartShare + (1-slowStartShare)*age/r.cluster.slowStartSeconds())
-	r.peakShare = max(r.peakShare, sum/(overloadMultiple*capacity*overloadWindowSeconds))
+	r.peakShare = max(r.peakShare, r.sumRecentWork(now)/(overloadMultiple*capacity*overloadWindowSeconds))
 	if r.peakShare > 1 {
 		r.overloaded = true
 		r.cluster.Log(fmt.Sprintf("%s: overloaded %.3f s after its start; work by member: %v", r.Name, age, r.WorkByMember))
@@ -163,41 +193,65 @@
 	return true
 }
 
+// sumRecentWork returns the work accepted within the overload window, in seconds, and forgets what is older. The mutex
+// must be held.
+func (r *Runner) sumRecentWork(now time.Time) (sum float64) {
+	recent := r.recentWork[:0]
+	for _, item := range r.recentWork {
+		if now.Sub(item.at).Seconds() < overloadWindowSeconds {
+			recent = append(recent, item)
+			sum += item.work
+		}
+	}
+	r.recentWork = recent
+	return sum
+}
+
+// loadReport returns the JSON field with the runner's load. The mutex must be held.
 func (r *Runner) loadReport() string {
-	return fmt.Sprintf(`"load":{"util":%.2f,"inflight":%d,"queue":%d,"x0":%d}`, float64(r.running)/r.cluster.RunnerSlots, r.running+r.waiting, r.waiting,
-		int(r.cluster.RunnerSlots)-r.running)
+	utilization := float64(r.running) / r.cluster.RunnerSlots
+	freeSlots := int(r.cluster.RunnerSlots) - r.running
+	return fmt.Sprintf(`"load":{"util":%.2f,"inflight":%d,"queue":%d,"x0":%d}`,
+		utilization, r.running+r.waiting, r.waiting, freeSlots)
 }
 
 func (r *Runner) serve(member *Member, writer http.ResponseWriter, request *http.Request) {
 	_, _ = io.Copy(io.Discard, request.Body)
 	if request.Method != "POST" {
-		writer.WriteHeader(204)
+		writer.WriteHeader(http.StatusNoContent)
 		return
 	}
-	id, class := request.Header.Get("X-Call-Id"), request.Header.Get("X-Call-Class")
+	id := request.Header.Get("X-Call-Id")
+	class := request.Header.Get("X-Call-Class")
 	if r.cluster.Discovery.violatesDrain(member, r) {
 		r.cluster.jobs.addViolation("%s sent %s to %s, after a notice that it is draining", member.Name, id, r.Name)
 	}
 	if !r.accept(member) {
 		panic(http.ErrAbortHandler)
 	}
-	r.mutex.Lock()
-	if r.waiting >= 2*int(r.cluster.RunnerSlots) {
-		load := r.loadReport()
-		r.mutex.Unlock()
+	if load, queued := r.enqueue(); !queued {
 		writer.Header().Set("X-Rejected", "1")
 		writer.Header().Set("X-Load", load)
-		writer.WriteHeader(503)
+		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	r.waiting++
-	r.mutex.Unlock()
 	r.cluster.jobs.recordExecution(id, class)
-	writer.WriteHeader(202)
+	writer.WriteHeader(http.StatusAccepted)
 	r.jobs.Add(1)
 	go r.run(member, id)
 }
 
+// enqueue gives a job a place in the queue; if there is none, it returns false and the load.
+func (r *Runner) enqueue() (load string, queued bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.waiting >= queuePlacesPerSlot*int(r.cluster.RunnerSlots) {
+		return r.loadReport(), false
+	}
+	r.waiting++
+	return "", true
+}
+
 func (r *Runner) run(member *Member, id string) {
 	defer r.jobs.Done()
 	r.slots <- true
--- a/internal/testkit/receivers/link.go
+++ b/internal/testkit/receivers/link.go
@@ -1,6 +1,9 @@
 package receivers
 
-import "time"
+import (
+	"net"
+	"time"
+)
 
 // Link describes the behaviour of a relay in one direction. The zero Link forwards everything at once.
 type Link struct {
@@ -15,3 +18,11 @@
 
 // Log receives a line for each action of a relay. It may be called from several goroutines.
 type Log func(line string)
+
+// abort closes a connection; one over TCP with a reset, so that its peer gets an error instead of an end of the stream.
+func abort(c net.Conn) {
+	if tcp, ok := c.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
+	c.Close()
+}
--- a/internal/testkit/receivers/relay_test.go
+++ b/internal/testkit/receivers/relay_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/netip"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -29,79 +30,107 @@
 	return strings.Join(l.all, "\n")
 }
 
-// TestUDPRelay checks the fault of each link, and that it leaves the datagrams of other senders alone.
-func TestUDPRelay(t *testing.T) {
+// udpTestbed is a relay with a source that sends to it and a target that it forwards to. The first byte of a datagram is
+// its sender.
+type udpTestbed struct {
+	relay  *UDPRelay
+	log    *logLines
+	source net.Conn
+	target net.PacketConn
+}
+
+func newUDPTestbed(t *testing.T) *udpTestbed {
+	t.Helper()
 	target, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer target.Close()
+	t.Cleanup(func() { target.Close() })
 	log := &logLines{}
-	relay, err := NewUDPRelay("b", netip.MustParseAddrPort(target.LocalAddr().String()), 7, log.add)
+	senderOf := func(b []byte) string { return string(b[:1]) }
+	relay, err := NewUDPRelay("b", netip.MustParseAddrPort(target.LocalAddr().String()), 7, senderOf, log.add)
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay.SenderOf = func(b []byte) string { return string(b[:1]) }
 	source, err := net.Dial("udp4", relay.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer source.Close()
-	// pass sends n datagrams from a sender and a last one from z, whose link has no fault, and returns those before it.
-	pass := func(sender string, n int) (got []string) {
-		for i := range n {
-			fmt.Fprintf(source, "%s%03d", sender, i)
+	t.Cleanup(func() { source.Close() })
+	return &udpTestbed{relay: relay, log: log, source: source, target: target}
+}
+
+// pass sends n datagrams from a sender and a last one from z, whose link has no fault, and returns those before it.
+func (bed *udpTestbed) pass(t *testing.T, sender string, n int) (received []string) {
+	t.Helper()
+	for i := range n {
+		fmt.Fprintf(bed.source, "%s%03d", sender, i)
+	}
+	time.Sleep(20 * time.Millisecond) // what waits for a delay must not come after the last one
+	fmt.Fprint(bed.source, "z")
+	buf := make([]byte, 100)
+	for {
+		bed.target.SetReadDeadline(time.Now().Add(20 * time.Second))
+		k, _, err := bed.target.ReadFrom(buf)
+		if err != nil {
+			t.Fatal(err)
 		}
-		time.Sleep(20 * time.Millisecond) // what waits for a delay must not come after the last one
-		fmt.Fprint(source, "z")
-		buf := make([]byte, 100)
-		for {
-			target.SetReadDeadline(time.Now().Add(20 * time.Second))
-			k, _, err := target.ReadFrom(buf)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if string(buf[:k]) == "z" {
-				return got
-			}
-			got = append(got, string(buf[:k]))
+		if string(buf[:k]) == "z" {
+			return received
 		}
+		received = append(received, string(buf[:k]))
 	}
-	if got := pass("a", 50); len(got) != 50 {
-		t.Errorf("without a fault %d of 50", len(got))
-	}
-	relay.SetLink("a", Link{Blackhole: true})
-	if got := pass("a", 20); len(got) != 0 {
-		t.Errorf("a black hole passed %v", got)
-	}
-	if got := pass("c", 20); len(got) != 20 {
-		t.Errorf("another sender: %d of 20", len(got))
-	}
-	relay.SetLink("a", Link{LossRate: 0.5})
-	if got := pass("a", 200); len(got) < 60 || len(got) > 140 {
-		t.Errorf("half lost: %d of 200", len(got))
-	}
-	relay.SetLink("a", Link{DuplicateRate: 1})
-	if got := pass("a", 20); len(got) != 40 {
-		t.Errorf("repeated: %d of 20", len(got))
-	}
-	relay.SetLink("a", Link{ReorderRate: 0.5})
-	order := pass("a", 100)
-	ordered := true
-	for i := 1; i < len(order); i++ {
-		ordered = ordered && order[i-1] < order[i]
-	}
-	if ordered || len(order) < 99 {
-		t.Errorf("out of order: %d of 100, in order %v", len(order), ordered)
-	}
-	relay.ClearLinks()
-	if got := pass("a", 20); len(got) < 20 || len(got) > 21 { // one may have been held back
-		t.Errorf("cleared: %d of 20", len(got))
-	}
-	relay.Close()
-	if !strings.Contains(log.String(), "link a -> b") || !strings.Contains(log.String(), "Dropped:") {
-		t.Errorf("log: %s", log)
-	}
+}
+
+// TestUDPRelay checks the fault of each link, and that it leaves the datagrams of other senders alone. The steps build
+// on one another.
+func TestUDPRelay(t *testing.T) {
+	bed := newUDPTestbed(t)
+	t.Run("without a fault", func(t *testing.T) {
+		if got := bed.pass(t, "a", 50); len(got) != 50 {
+			t.Errorf("without a fault %d of 50", len(got))
+		}
+	})
+	t.Run("black hole", func(t *testing.T) {
+		bed.relay.SetLink("a", Link{Blackhole: true})
+		if got := bed.pass(t, "a", 20); len(got) != 0 {
+			t.Errorf("a black hole passed %v", got)
+		}
+		if got := bed.pass(t, "c", 20); len(got) != 20 {
+			t.Errorf("another sender: %d of 20", len(got))
+		}
+	})
+	t.Run("loss", func(t *testing.T) {
+		bed.relay.SetLink("a", Link{LossRate: 0.5})
+		if got := bed.pass(t, "a", 200); len(got) < 60 || len(got) > 140 {
+			t.Errorf("half lost: %d of 200", len(got))
+		}
+	})
+	t.Run("duplicates", func(t *testing.T) {
+		bed.relay.SetLink("a", Link{DuplicateRate: 1})
+		if got := bed.pass(t, "a", 20); len(got) != 40 {
+			t.Errorf("repeated: %d of 20", len(got))
+		}
+	})
+	t.Run("reordering", func(t *testing.T) {
+		bed.relay.SetLink("a", Link{ReorderRate: 0.5})
+		got := bed.pass(t, "a", 100)
+		if ordered := slices.IsSorted(got); ordered || len(got) < 99 {
+			t.Errorf("out of order: %d of 100, in order %v", len(got), ordered)
+		}
+	})
+	t.Run("cleared links", func(t *testing.T) {
+		bed.relay.ClearLinks()
+		if got := bed.pass(t, "a", 20); len(got) < 20 || len(got) > 21 { // one may have been held back
+			t.Errorf("cleared: %d of 20", len(got))
+		}
+	})
+	t.Run("log", func(t *testing.T) {
+		bed.relay.Close()
+		if !strings.Contains(bed.log.String(), "link a -> b") || !strings.Contains(bed.log.String(), "Dropped:") {
+			t.Errorf("log: %s", bed.log)
+		}
+	})
 }
 
 // TestTCPRelay checks that a connection is forwarded, hangs behind a black hole and continues after it, and can be reset.
--- a/internal/testkit/receivers/server.go
+++ b/internal/testkit/receivers/server.go
@@ -10,19 +10,25 @@
 	"time"
 )
 
+const (
+	readBufferSize = 4096             // bytes
+	readPause      = time.Millisecond // before each read, with a limit of SetReadSize
+)
+
 // server is a listener that can be stopped and restarted, with faults for its connections.
 type server struct {
 	Store
-	network, address string
-	serve            func(c net.Conn)
+	network string // tcp or unix
+	address string // what was asked for, and after start the one that it listens on
+	serve   func(c net.Conn)
 
 	mutex      sync.Mutex
 	listener   net.Listener
 	conns      map[net.Conn]bool
-	stalled    bool
-	resume     chan struct{}
-	resetAfter int // bytes after which the next connection is reset; 0: none
-	readSize   int // bytes per read, with a pause after each; 0: unlimited
+	stalled    bool          // nothing is read
+	resume     chan struct{} // closed when it is no longer stalled
+	resetAfter int           // bytes after which the next connection is reset; 0: none
+	readSize   int           // bytes per read, with a pause after each; 0: unlimited
 	accepted   int
 	keepOpen   bool // doesn't close when the peer has closed, like some relays
 }
@@ -40,31 +46,37 @@
 	if err != nil {
 		return fmt.Errorf("receivers: %w", err)
 	}
-	s.listener, s.address = l, l.Addr().String()
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.mutex.Lock()
-			s.conns[c] = true
-			s.accepted++
-			s.mutex.Unlock()
-			go func() {
-				s.serve(c)
-				s.mutex.Lock()
-				defer s.mutex.Unlock()
-				if !s.keepOpen {
-					delete(s.conns, c)
-					c.Close()
-				}
-			}()
-		}
-	}()
+	s.listener = l
+	s.address = l.Addr().String()
+	go s.acceptAll(l)
 	return nil
 }
 
+// acceptAll serves connections until the listener is closed.
+func (s *server) acceptAll(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		s.mutex.Lock()
+		s.conns[c] = true
+		s.accepted++
+		s.mutex.Unlock()
+		go s.serveConn(c)
+	}
+}
+
+func (s *server) serveConn(c net.Conn) {
+	s.serve(c)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !s.keepOpen {
+		delete(s.conns, c)
+		c.Close()
+	}
+}
+
 // Addr returns the address that it listens on.
 func (s *server) Addr() string {
 	s.mutex.Lock()
@@ -81,10 +93,7 @@
 		s.listener = nil
 	}
 	for c := range s.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0)
-		}
-		c.Close()
+		abort(c)
 	}
 }
 
@@ -132,44 +141,44 @@
 	return s.accepted
 }
 
-// cueReader reads a connection with the faults of its server.
-type cueReader struct {
+// faultyReader reads a connection with the faults of its server.
+type faultyReader struct {
 	server     *server
 	conn       net.Conn
 	untilReset int // bytes; 0: never
 }
 
+// reader returns a reader of a connection with the server's faults. It takes the reset that ResetAfter ordered.
 func (s *server) reader(c net.Conn) *bufio.Reader {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	r := &cueReader{server: s, conn: c, untilReset: s.resetAfter}
+	r := &faultyReader{server: s, conn: c, untilReset: s.resetAfter}
 	s.resetAfter = 0
-	return bufio.NewReaderSize(r, 4096)
+	return bufio.NewReaderSize(r, readBufferSize)
 }
 
 // Read implements io.Reader.
-func (r *cueReader) Read(b []byte) (int, error) {
+func (r *faultyReader) Read(b []byte) (int, error) {
 	r.server.mutex.Lock()
-	wait, pace := r.server.resume, r.server.readSize
 	stalled := r.server.stalled
+	resume := r.server.resume
+	readSize := r.server.readSize
 	r.server.mutex.Unlock()
 	if stalled {
-		<-wait
+		<-resume
 	}
-	if pace > 0 {
-		time.Sleep(time.Millisecond)
-		b = b[:min(len(b), pace)]
+	if readSize > 0 {
+		time.Sleep(readPause)
+		b = b[:min(len(b), readSize)]
 	}
 	if r.untilReset > 0 {
 		b = b[:min(len(b), r.untilReset)]
 	}
 	n, err := r.conn.Read(b)
 	if r.untilReset > 0 && err == nil {
-		if r.untilReset -= n; r.untilReset == 0 {
-			if tcp, ok := r.conn.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0)
-			}
-			r.conn.Close()
+		r.untilReset -= n
+		if r.untilReset == 0 {
+			abort(r.conn)
 			return n, io.ErrUnexpectedEOF
 		}
 	}
--- a/internal/testkit/receivers/tcprelay.go
+++ b/internal/testkit/receivers/tcprelay.go
@@ -8,6 +8,9 @@
 	"time"
 )
 
+// relayBufferSize is the size of the buffer of each direction of a connection, in bytes.
+const relayBufferSize = 32 << 10
+
 // TCPRelay forwards each connection to a target; one Link applies to both directions.
 type TCPRelay struct {
 	Name string
@@ -31,120 +34,126 @@
 	if err != nil {
 		return nil, fmt.Errorf("receivers: %w", err)
 	}
-	s := &TCPRelay{Name: name, listener: l, target: target, log: log, connections: map[net.Conn]net.Conn{}, changed: make(chan struct{})}
-	go s.run()
-	return s, nil
+	r := &TCPRelay{
+		Name:        name,
+		listener:    l,
+		log:         log,
+		target:      target,
+		connections: map[net.Conn]net.Conn{},
+		changed:     make(chan struct{}),
+	}
+	go r.run()
+	return r, nil
 }
 
 // Addr returns the address that it listens on.
-func (s *TCPRelay) Addr() string { return s.listener.Addr().String() }
+func (r *TCPRelay) Addr() string { return r.listener.Addr().String() }
 
 // SetTarget changes the target of new connections.
-func (s *TCPRelay) SetTarget(to string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.target = to
+func (r *TCPRelay) SetTarget(to string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.target = to
 }
 
 // SetLink sets the link; if it resets, all open connections are reset at once.
-func (s *TCPRelay) SetLink(link Link) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.link = link
-	close(s.changed)
-	s.changed = make(chan struct{})
-	s.log(fmt.Sprintf("stream %s: %+v", s.Name, link))
+func (r *TCPRelay) SetLink(link Link) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.link = link
+	close(r.changed)
+	r.changed = make(chan struct{})
+	r.log(fmt.Sprintf("stream %s: %+v", r.Name, link))
 	if link.Resets {
-		for a, b := range s.connections {
-			abort(a)
-			abort(b)
-			s.resets++
+		for caller, target := range r.connections {
+			abort(caller)
+			abort(target)
+			r.resets++
 		}
 	}
 }
 
-func abort(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
-	}
-	c.Close()
-}
-
 // Close stops the relay, closes its connections and logs their number.
-func (s *TCPRelay) Close() {
-	s.listener.Close()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for a, b := range s.connections {
-		a.Close()
-		b.Close()
+func (r *TCPRelay) Close() {
+	r.listener.Close()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for caller, target := range r.connections {
+		caller.Close()
+		target.Close()
 	}
-	s.log(fmt.Sprintf("stream %s: %d connections, %d reset", s.Name, s.accepted, s.resets))
+	r.log(fmt.Sprintf("stream %s: %d connections, %d reset", r.Name, r.accepted, r.resets))
 }
 
 // Link returns the current link.
-func (s *TCPRelay) Link() Link {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.link
+func (r *TCPRelay) Link() Link {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.link
 }
 
-func (s *TCPRelay) state() (Link, string, chan struct{}) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.link, s.target, s.changed
+// state returns the link, the target of new connections, and a channel that is closed when the link changes.
+func (r *TCPRelay) state() (link Link, target string, changed <-chan struct{}) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.link, r.target, r.changed
 }
 
-func (s *TCPRelay) run() {
+func (r *TCPRelay) run() {
 	for {
-		a, err := s.listener.Accept()
+		caller, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		link, to, _ := s.state()
+		link, target, _ := r.state()
 		if link.Resets {
-			abort(a)
+			abort(caller)
 			continue
 		}
-		go s.serve(a, to)
+		go r.serve(caller, target)
 	}
 }
 
-func (s *TCPRelay) serve(caller net.Conn, to string) {
-	target, err := net.Dial("tcp", to)
+// serve forwards a connection until both directions have ended.
+func (r *TCPRelay) serve(caller net.Conn, address string) {
+	target, err := net.Dial("tcp", address)
 	if err != nil {
 		abort(caller)
 		return
 	}
-	s.mutex.Lock()
-	s.connections[caller] = target
-	s.accepted++
-	s.mutex.Unlock()
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); s.forward(target, caller) }()
-	go func() { defer both.Done(); s.forward(caller, target) }()
-	both.Wait()
-	s.mutex.Lock()
-	delete(s.connections, caller)
-	s.mutex.Unlock()
+	r.mutex.Lock()
+	r.connections[caller] = target
+	r.accepted++
+	r.mutex.Unlock()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.forward(target, caller) })
+	directions.Go(func() { r.forward(caller, target) })
+	directions.Wait()
+	r.mutex.Lock()
+	delete(r.connections, caller)
+	r.mutex.Unlock()
 	caller.Close()
 	target.Close()
 }
 
+// waitForLink waits until the link is no black hole, and then for its delay.
+func (r *TCPRelay) waitForLink() {
+	for {
+		link, _, changed := r.state()
+		if !link.Blackhole {
+			time.Sleep(link.Delay)
+			return
+		}
+		<-changed
+	}
+}
+
 // forward copies bytes and the end of the stream. While the link is a black hole, bytes wait, as with retransmission.
-func (s *TCPRelay) forward(to, from net.Conn) {
-	buf := make([]byte, 32<<10)
+func (r *TCPRelay) forward(to, from net.Conn) {
+	buf := make([]byte, relayBufferSize)
 	for {
 		n, err := from.Read(buf)
-		for {
-			link, _, change := s.state()
-			if !link.Blackhole {
-				time.Sleep(link.Delay)
-				break
-			}
-			<-change
-		}
+		r.waitForLink()
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
 				from.Close()
