--- a/cmd/cinderroad-dispatcher/cluster_test.go
+++ b/cmd/cinderroad-dispatcher/cluster_test.go
@@ -45,27 +45,19 @@
 	return members
 }
 
-// The fleet's commands: a table, JSON, and a check that names who disagrees, who does not answer and who cannot be asked.
-func TestFleetCommands(t *testing.T) {
-	var members, others []cluster.Member
-	one := fakeDispatcher(t, "a", "1", true, &members)
-	same := fakeDispatcher(t, "b", "1", true, &members)
-	differs := fakeDispatcher(t, "c", "2", true, &others)
-	of := func(names ...string) (list []cluster.Member) {
-		for _, n := range names {
-			console := map[string]string{"a": one, "b": same, "c": differs, "gone": "127.0.0.1:1", "mute": ""}[n]
-			list = append(list, cluster.Member{Name: n, State: "alive", Console: console, Address: "127.0.0.1:7946", Zone: "milano"})
-		}
-		return list
-	}
-	others = of("a", "c")
-	for _, tc := range []struct {
-		name    string
-		members []cluster.Member
-		args    []string
-		says    []string
-		fails   string // empty: status 0
-	}{
+// fleetCommandCase is one call of a command for clusters of dispatchers.
+type fleetCommandCase struct {
+	name    string
+	members []cluster.Member // as all dispatchers hold them
+	args    []string
+	says    []string // parts of the output
+	fails   string   // part of the error; empty: status 0
+}
+
+// fleetCommandCases are a table, JSON, and checks that name who disagrees, who does not answer and who cannot be asked. of
+// returns members by their names.
+func fleetCommandCases(of func(names ...string) []cluster.Member) []fleetCommandCase {
+	return []fleetCommandCase{
 		{
 			name:    "table",
 			members: of("a", "b"),
@@ -123,7 +115,31 @@
 			args:    []string{"gone", "a"},
 			fails:   "only one that is dead",
 		},
-	} {
+	}
+}
+
+// TestFleetCommands calls the commands for clusters at fake dispatchers: a and b hold the same view, c another one; gone does
+// not answer, and mute has no second address.
+func TestFleetCommands(t *testing.T) {
+	var members, others []cluster.Member
+	one := fakeDispatcher(t, "a", "1", true, &members)
+	same := fakeDispatcher(t, "b", "1", true, &members)
+	differs := fakeDispatcher(t, "c", "2", true, &others)
+	consoles := map[string]string{"a": one, "b": same, "c": differs, "gone": "127.0.0.1:1", "mute": ""}
+	of := func(names ...string) (list []cluster.Member) {
+		for _, name := range names {
+			list = append(list, cluster.Member{
+				Name:    name,
+				State:   "alive",
+				Console: consoles[name],
+				Address: "127.0.0.1:7946",
+				Zone:    "milano",
+			})
+		}
+		return list
+	}
+	others = of("a", "c")
+	for _, tc := range fleetCommandCases(of) {
 		members = tc.members
 		out, err := call(append([]string{"fleet", "--console", one}, tc.args...)...)
 		for _, want := range tc.says {
--- a/cmd/cinderroad-dispatcher/linked_test.go
+++ b/cmd/cinderroad-dispatcher/linked_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against a build that leaves the C library out: the platform loads a library of its own into the process. The
-// program is built before the tests, by the README's command.
+// TestBinaryLinkedDynamically guards against a build that leaves the C library out: the platform loads a library of its own
+// into the process. The program is built before the tests, by the README's command.
 func TestBinaryLinkedDynamically(t *testing.T) {
 	f, err := elf.Open("../../bin/cinderroad-dispatcher")
 	if errors.Is(err, os.ErrNotExist) {
--- a/cmd/cinderroad-dispatcher/main_test.go
+++ b/cmd/cinderroad-dispatcher/main_test.go
@@ -21,7 +21,8 @@
 	return out.String(), err
 }
 
-// The page of all series is what the program says of itself; `cinderroad figures --page >docs/figures.md` makes it anew.
+// TestMetricsPage checks that the page of all series is what the program says of itself. To write it anew:
+// cinderroad-dispatcher figures --page >docs/figures.md
 func TestMetricsPage(t *testing.T) {
 	want, err := os.ReadFile("../../docs/figures.md")
 	if err != nil {
@@ -33,15 +34,17 @@
 	}
 }
 
+// TestSingleDashFlags checks that long flags may have one dash, as in the first releases.
 func TestSingleDashFlags(t *testing.T) {
 	root := rootCommand()
-	got := normalizeFlags(root, []string{"serve", "-config", "x", "-log=debug", "--graphite", "a", "-metrics-every", "1", "-h", "-unknown"})
+	args := []string{"serve", "-config", "x", "-log=debug", "--graphite", "a", "-metrics-every", "1", "-h", "-unknown"}
 	want := []string{"serve", "--config", "x", "--log=debug", "--graphite", "a", "--metrics-every", "1", "-h", "-unknown"}
-	if d := cmp.Diff(want, got); d != "" {
+	if d := cmp.Diff(want, normalizeFlags(root, args)); d != "" {
 		t.Error(d)
 	}
 }
 
+// TestCheck checks what is printed of a valid configuration, and that errors say where an invalid one is wrong.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -83,6 +86,8 @@
 	}
 }
 
+// TestAudit checks the verdict on request logs and received metrics that agree, differ or make no sense. The table is most of
+// its length.
 func TestAudit(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name string, lines ...string) string {
--- a/cmd/cinderroad-dispatcher/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -22,6 +22,7 @@
 	shorthand                         server.Shorthand
 }
 
+// addFlags adds the flags, with their defaults, in the order in which the help lists them.
 func (o *serveOptions) addFlags(c *cobra.Command) {
 	f := c.Flags()
 	f.SortFlags = false
