--- a/internal/dispatcher/server/cluster_audit_test.go
+++ b/internal/dispatcher/server/cluster_audit_test.go
@@ -190,6 +190,7 @@
 	}
 }
 
+// asList returns the objects of a JSON array; none if v is no array.
 func asList(v any) (all []map[string]any) {
 	list, _ := v.([]any)
 	for _, one := range list {
--- a/internal/dispatcher/server/cluster_metrics.go
+++ b/internal/dispatcher/server/cluster_metrics.go
@@ -14,6 +14,7 @@
 	server *Server // nil where only the documentation is wanted
 }
 
+// series registers a series that get reads from the cluster.
 func (add clusterMetricAdder) series(kind telemetry.Kind, name, unit, help string, get func(c *cluster.Cluster) float64) {
 	doc := telemetry.SeriesDoc{
 		Pattern: "fleet." + name,
@@ -29,6 +30,7 @@
 	})
 }
 
+// gauge registers a gauge.
 func (add clusterMetricAdder) gauge(name, unit, help string, get func(c *cluster.Cluster) float64) {
 	add.series(telemetry.Gauge, name, unit, help, get)
 }
--- a/internal/dispatcher/server/cluster_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -454,8 +454,10 @@
 	r.Check()
 }
 
+// addrOf parses an address that is known to be valid.
 func addrOf(text string) netip.AddrPort { return netip.MustParseAddrPort(text) }
 
+// datagram returns an update from a member of some cluster, as it is sent.
 func datagram(t *testing.T, fleet, name string) []byte {
 	t.Helper()
 	b, err := membership.Encode(&membership.Message{
@@ -474,6 +476,34 @@
 	return b
 }
 
+// liar is a member that sends false records of the others.
+type liar struct {
+	addr       netip.AddrPort
+	generation uint64
+}
+
+// recordsOf returns false records of members, which differ from round to round: they have failed or left, or have begun
+// later and have the liar's address.
+func (l liar) recordsOf(members []*processcluster.Member, round int) (records []membership.Record) {
+	for _, m := range members {
+		victim := membership.Record{
+			Name:        m.Name,
+			Addr:        addrOf(m.Relay.Addr()),
+			Generation:  generationOf(m, m.Name),
+			Incarnation: uint64(round),
+			State:       membership.State(1 + round%3),
+			SuspectedBy: "liar",
+		}
+		if round%5 == 4 {
+			victim.Generation = l.generation * 2
+			victim.Addr = l.addr
+			victim.State = membership.Alive
+		}
+		records = append(records, victim)
+	}
+	return records
+}
+
 // TestFleetLies: a member lies that others have left, died, have another address, or have begun later. No process ends,
 // jobs are served, and the view is the true one once it has departed.
 func TestFleetLies(t *testing.T) {
@@ -485,32 +515,17 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	here := addrOf(conn.LocalAddr().String())
-	generation := uint64(time.Now().UnixMicro())
-	for i := range 150 {
-		var lies []membership.Record
-		for _, m := range r.Members {
-			victim := membership.Record{
-				Name:        m.Name,
-				Addr:        addrOf(m.Relay.Addr()),
-				Generation:  generationOf(m, m.Name),
-				Incarnation: uint64(i),
-				State:       membership.State(1 + i%3),
-				SuspectedBy: "liar",
-			}
-			if i%5 == 4 {
-				victim.Generation = generation * 2
-				victim.Addr = here
-				victim.State = membership.Alive
-			}
-			lies = append(lies, victim)
-		}
+	sender := liar{
+		addr:       addrOf(conn.LocalAddr().String()),
+		generation: uint64(time.Now().UnixMicro()),
+	}
+	for round := range 150 {
 		b, err := membership.Encode(&membership.Message{
 			Kind:    membership.Update,
 			Cluster: r.ClusterName,
-			Number:  uint64(i + 1),
-			Records: lies,
-			From:    membership.Record{Name: "liar", Generation: generation, Addr: here},
+			Number:  uint64(round + 1),
+			Records: sender.recordsOf(r.Members, round),
+			From:    membership.Record{Name: "liar", Generation: sender.generation, Addr: sender.addr},
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dispatcher/server/config.go
+++ b/internal/dispatcher/server/config.go
@@ -153,6 +153,7 @@
 	return nil
 }
 
+// classNames returns the names of the classes, in the order of the settings.
 func (c *Config) classNames() []string {
 	names := make([]string, len(c.dispatcherSettings.Categories))
 	for i, class := range c.dispatcherSettings.Categories {
@@ -216,6 +217,7 @@
 	}
 }
 
+// parseAddresses parses the addresses; one that is empty stays invalid.
 func (c *Config) parseAddresses() (err error) {
 	for _, address := range []struct {
 		name, text string
--- a/internal/dispatcher/server/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -33,6 +33,7 @@
 	return nil
 }
 
+// describeServing describes the fronts, discovery and the shared settings.
 func (c *Config) describeServing(line func(name, format string, values ...any)) {
 	line("configuration", "%s", c.path)
 	line("name", "%s", c.Name)
@@ -51,6 +52,7 @@
 	line("operator's file", "%s", cmp.Or(c.Operator.Path(), "none"))
 }
 
+// describeMetrics describes where metrics go.
 func (c *Config) describeMetrics(line func(name, format string, values ...any)) {
 	operator := c.Operator
 	settings := operator.Telemetry
@@ -74,6 +76,7 @@
 	line("spool", "%s", cmp.Or(settings.SpoolDir, "off: totals begin at 0 with each start"))
 }
 
+// describeCluster describes the membership of the cluster.
 func (c *Config) describeCluster(line func(name, format string, values ...any)) {
 	fleet := c.Operator.Cluster
 	if fleet == nil {
--- a/internal/dispatcher/server/fragments_test.go
+++ b/internal/dispatcher/server/fragments_test.go
@@ -47,7 +47,7 @@
 	w = startHarness(t, options{})
 	w.fragmented.Store(true)
 	w.sendDiscoveryLine(`{"rev":5,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
-	w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 5`) })
+	w.awaitLog("the list", `"rev": 5`)
 	c := w.dial()
 	writeBytewise(c, "POST /score/a HTTP/1.1\r\nX-Call-Id: p1\r\nX-Budget-Ms: 4900\r\n"+
 		"Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"+
--- a/internal/dispatcher/server/harness_test.go
+++ b/internal/dispatcher/server/harness_test.go
@@ -25,8 +25,10 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
+// program is the path of the dispatcher's binary, which TestMain builds.
 var program string
 
+// TestMain builds the dispatcher before the tests, with the checks of invariants where these are on in the tests, too.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "cinderroad")
 	if err != nil {
@@ -47,6 +49,7 @@
 
 const attemptsCap = 4 // of a job, by the settings
 
+// settingsText are the shared settings, with slow start in seconds, attemptsCap and idle timeout to be filled in.
 const settingsText = `{"categories":[
  {"name":"score","deadlineS":5,"objectiveS":0.05,"repeat":"retryable","windowS":5,"worth":3},
  {"name":"charge","deadlineS":5,"dedupScope":"cell","objectiveS":0.05,"repeat":"dedup","windowS":7.5,"worth":10},
@@ -61,25 +64,26 @@
 // harness is a dispatcher process on loopback sockets among scripted peers.
 type harness struct {
 	t                 *testing.T
-	addr              string
+	addr              string // of the HTTP front
 	console           string // the second address
 	cmd               *exec.Cmd
 	log               *lockedBuffer
-	mu                sync.Mutex
-	config            map[string]any
-	path              string   // of the configuration file
-	lines             []string // of discovery, since the start
-	watches           []string // queries of the watches
-	changed           chan struct{}
-	retryAfter        atomic.Int32 // seconds; above 0, discovery rejects watches with it
-	fragmented        atomic.Bool  // discovery writes byte by byte
-	unresponsive      atomic.Bool  // discovery accepts watches and sends nothing
+	mu                sync.Mutex     // guards lines, watches, changed and calls
+	config            map[string]any // of the configuration file
+	path              string         // of the configuration file
+	lines             []string       // of discovery, since the start
+	watches           []string       // queries of the watches
+	changed           chan struct{}  // closed and replaced when lines has one more
+	retryAfter        atomic.Int32   // seconds; above 0, discovery rejects watches with it
+	fragmented        atomic.Bool    // discovery writes byte by byte
+	unresponsive      atomic.Bool    // discovery accepts watches and sends nothing
 	discovery         *httptest.Server
 	client            *http.Client
-	calls             int
+	calls             int           // jobs requested by requestJob
 	callbacksInFlight *atomic.Int64 // waits for their answers
 }
 
+// lockedBuffer is a buffer for a process to write to while a test reads it.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -97,11 +101,12 @@
 	return l.buffer.String()
 }
 
+// options configure a harness; the zero value has defaults.
 type options struct {
-	sockets   int
-	connIdle  float64
-	cold      float64
-	args      []string
+	sockets   int      // descriptors of the process; 1024 if 0
+	connIdle  float64  // seconds that an idle connection to a runner is kept; 60 if 0
+	cold      float64  // seconds of a runner's slow start; 9 if 0
+	args      []string // further flags
 	console   bool     // has a second address
 	inherit   *os.File // clients' listening socket; nil: the process binds its own
 	listen    string   // address of inherit
@@ -140,18 +145,10 @@
 	if o.tempDir == "" {
 		o.tempDir = t.TempDir()
 	}
-	if o.sockets == 0 {
-		o.sockets = 1024
-	}
-	if o.cold == 0 {
-		o.cold = 9
-	}
-	if o.connIdle == 0 {
-		o.connIdle = 60
-	}
-	if o.name == "" {
-		o.name = "n0"
-	}
+	o.sockets = cmp.Or(o.sockets, 1024)
+	o.cold = cmp.Or(o.cold, 9)
+	o.connIdle = cmp.Or(o.connIdle, 60)
+	o.name = cmp.Or(o.name, "n0")
 	w.config = map[string]any{
 		"name":      o.name,
 		"listen":    w.addr,
@@ -196,7 +193,7 @@
 	if o.startOnly {
 		return
 	}
-	h.eventually("serving", func() bool { return strings.Contains(h.log.String(), "program: serving") })
+	h.awaitLog("serving", "program: serving")
 	h.eventually("healthy", func() bool {
 		r, err := h.client.Get("http://" + h.addr + "/_health")
 		if err != nil {
@@ -239,6 +236,12 @@
 	}
 }
 
+// awaitLog waits until the process's log contains a text; what says in words what is awaited.
+func (h *harness) awaitLog(what, text string) {
+	h.t.Helper()
+	h.eventually(what, func() bool { return strings.Contains(h.log.String(), text) })
+}
+
 // reload makes the process read its configuration again, and waits for a log message that contains word.
 func (h *harness) reload(word string) {
 	h.t.Helper()
@@ -317,96 +320,6 @@
 	h.changed = make(chan struct{})
 }
 
-// runner is a scripted runner.
-type runner struct {
-	uid            string
-	server         *httptest.Server
-	mu             sync.Mutex
-	requests       []*http.Request // jobs, in the order of arrival
-	cancelledPaths []string        // paths of the DELETEs
-	open           int             // connections
-}
-
-// newRunner starts a runner; serve answers a job, with n the number of jobs before it.
-func newRunner(t *testing.T, uid string, serve func(n int, rw http.ResponseWriter, r *http.Request)) *runner {
-	t.Helper()
-	u := &runner{uid: uid}
-	u.server = httptest.NewUnstartedServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		r.Body = io.NopCloser(bytes.NewReader(body))
-		u.mu.Lock()
-		n := len(u.requests)
-		switch r.Method {
-		case "POST":
-			u.requests = append(u.requests, r)
-		case "DELETE":
-			u.cancelledPaths = append(u.cancelledPaths, r.URL.Path)
-		}
-		u.mu.Unlock()
-		if r.Method == "POST" {
-			serve(n, rw, r)
-		}
-	}))
-	u.server.Config.ConnState = func(_ net.Conn, s http.ConnState) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		switch s {
-		case http.StateNew:
-			u.open++
-		case http.StateClosed:
-			u.open--
-		}
-	}
-	l, err := net.Listen("tcp", "127.0.0.2:0") // an address of its own: that of clients is bounded
-	if err != nil {
-		t.Fatal(err)
-	}
-	u.server.Listener.Close()
-	u.server.Listener = l
-	u.server.Start()
-	t.Cleanup(func() {
-		u.server.CloseClientConnections()
-		u.server.Close()
-	})
-	return u
-}
-
-// jobIDs returns the ids of the jobs in the order of their arrival.
-func (u *runner) jobIDs() (ids []string) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, q := range u.requests {
-		ids = append(ids, q.Header.Get("X-Call-Id"))
-	}
-	return ids
-}
-
-// newNamedRunners starts runners, named s-0 and so on, that serve each job with their own name as its result. of returns
-// their dispatcher, which may be started after them, before the first job.
-func newNamedRunners(t *testing.T, count int, of func() *harness) (runners []*runner) {
-	t.Helper()
-	for i := range count {
-		uid := fmt.Sprint("s-", i)
-		runners = append(runners, newRunner(t, uid, func(n int, rw http.ResponseWriter, r *http.Request) {
-			of().replyWith(uid, uid)(n, rw, r)
-		}))
-	}
-	return runners
-}
-
-// jobs returns the number of jobs that arrived.
-func (u *runner) jobs() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return len(u.requests)
-}
-
-// target returns the runner's entry in the list.
-func (u *runner) target(state string, cell int) string {
-	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"milano","model":"two-core","pod_group":%d,"state":%q,"capacity_hint":1,"boot_ms":0}`,
-		u.uid, strings.TrimPrefix(u.server.URL, "http://"), cell, state)
-}
-
 // awaitCallbacks waits until callbacks in flight are answered: a client may have its answer before the runner whose
 // callback brought it has read that the callback was accepted.
 func (h *harness) awaitCallbacks() {
--- a/internal/dispatcher/server/jobs_test.go
+++ b/internal/dispatcher/server/jobs_test.go
@@ -131,7 +131,7 @@
 		t.Errorf("silent runner: %d", status)
 	}
 	w.sendDiscoveryLine(`{"rev":2,"all":true,"targets":[]}`)
-	w.eventually("empty list", func() bool { return strings.Contains(w.log.String(), `"rev": 2`) })
+	w.awaitLog("empty list", `"rev": 2`)
 	status, _, header := w.requestJob("once", 400)
 	wait, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if status != 503 || err != nil || wait <= 0 || wait > 2 {
@@ -149,12 +149,12 @@
 	// An entry that makes no sense holds up neither the others nor the watch, and takes no backend off the list.
 	bad := `{"uid":"s-1","endpoint":"x","state":"ready"}`
 	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[` + runners[0].target("draining", 0) + `,` + bad + `]}`)
-	w.eventually("bad entry", func() bool { return strings.Contains(w.log.String(), "bad entry dropped") })
+	w.awaitLog("bad entry", "bad entry dropped")
 	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 		t.Errorf("after a bad entry: %d %q", status, body)
 	}
 	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[{"uid":""}]}`)
-	w.eventually("bad line", func() bool { return strings.Contains(w.log.String(), "old list kept") })
+	w.awaitLog("bad line", "old list kept")
 	for range 5 {
 		if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 			t.Errorf("answer %d %q", status, body)
@@ -172,7 +172,7 @@
 	}
 	w.lines = []string{`{"rev":4,"all":false,"targets":[]}`, `{"rev":3,"all":true,"targets":[]}`} // older than the one before
 	w.mu.Unlock()
-	w.eventually("an old list", func() bool { return strings.Contains(w.log.String(), "version 3 after 4") })
+	w.awaitLog("an old list", "version 3 after 4")
 	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 		t.Errorf("after an old list: %d %q", status, body)
 	}
@@ -341,7 +341,7 @@
 	go ask()
 	w.eventually("first job", func() bool { return u.jobs() == 1 })
 	exit := w.terminate()
-	w.eventually("told", func() bool { return strings.Contains(w.log.String(), "stopping") })
+	w.awaitLog("told", "stopping")
 	go ask() // clients still arrive for a moment
 	w.eventually("second job", func() bool { return u.jobs() == 2 })
 	time.Sleep(600 * time.Millisecond) // past the moment in which idle sessions are closed
@@ -356,6 +356,7 @@
 	}
 }
 
+// TestInvalidConfigErrors checks that a process with an invalid configuration ends, and says what is wrong.
 func TestInvalidConfigErrors(t *testing.T) {
 	good := fmt.Sprintf(`{"listen":"127.0.0.1:0","seed":"1","settings":%s}`, fmt.Sprintf(settingsText, 9.0, attemptsCap, 60.0))
 	gearman := "listen = \"127.0.0.1:0\"\n[[function]]\nname = \"f\"\nclass = \"nobody\"\n"
@@ -435,7 +436,7 @@
 			}()
 			w.eventually("the job", func() bool { return first.jobs() == 1 })
 			w.sendDiscoveryLine(fmt.Sprintf(line, other.target("ready", 0)))
-			w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 2`) })
+			w.awaitLog("the list", `"rev": 2`)
 			close(release)
 			if status := <-answer; status != 500 || other.jobs() != 0 {
 				t.Errorf("answer %d after %d jobs in another cell", status, other.jobs())
--- a/internal/dispatcher/server/metrics.go
+++ b/internal/dispatcher/server/metrics.go
@@ -13,6 +13,7 @@
 // metricAdder registers metrics that are read when a period ends.
 type metricAdder struct{ set *telemetry.Set }
 
+// counter registers a counter.
 func (add metricAdder) counter(name, unit, help string, get func() uint64) {
 	doc := telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Counter, Unit: unit, Help: help}
 	add.set.AddFunc(doc, func() float64 { return float64(get()) })
@@ -29,6 +30,7 @@
 	})
 }
 
+// gauge registers a gauge.
 func (add metricAdder) gauge(name, unit, help string, get func() float64) {
 	doc := telemetry.SeriesDoc{Pattern: name, Kind: telemetry.Gauge, Unit: unit, Help: help}
 	add.set.AddFunc(doc, get)
--- a/internal/dispatcher/server/misbehaving_peers_test.go
+++ b/internal/dispatcher/server/misbehaving_peers_test.go
@@ -20,6 +20,7 @@
 	return string(got)
 }
 
+// dial opens a connection that is closed when the test ends.
 func (h *harness) dial() net.Conn {
 	h.t.Helper()
 	c, err := net.Dial("tcp", h.addr)
@@ -219,17 +220,19 @@
 // there is none.
 func TestUnusableRequests(t *testing.T) {
 	for name, tc := range map[string]struct {
-		single       bool
-		mostAttempts int // of a job
+		single      bool
+		maxAttempts int // of a job
 	}{
 		"one attempt at a time": {true, 2},
 		"second copies":         {false, 3},
 	} {
-		t.Run(name, func(t *testing.T) { unusableRequests(t, tc.single, tc.mostAttempts) })
+		t.Run(name, func(t *testing.T) { checkUnusableRequests(t, tc.single, tc.maxAttempts) })
 	}
 }
 
-func unusableRequests(t *testing.T, single bool, mostAttempts int) {
+// checkUnusableRequests sends jobs that no runner can use, and checks that each fails after two to maxAttempts attempts, and
+// that runners are used for others as before.
+func checkUnusableRequests(t *testing.T, single bool, maxAttempts int) {
 	t.Helper()
 	var w *harness
 	var runners []*runner
@@ -260,7 +263,7 @@
 		}
 	}
 	for id, n := range attempts {
-		if n < 2 || n > mostAttempts {
+		if n < 2 || n > maxAttempts {
 			t.Errorf("job %s: %d attempts", id, n)
 		}
 	}
--- a/internal/dispatcher/server/operator_test.go
+++ b/internal/dispatcher/server/operator_test.go
@@ -17,11 +17,12 @@
 	return operate(h.t, h.console, method, path, body)
 }
 
+// operate makes a call at a second address, and returns the status and the text of its answer.
 func operate(t *testing.T, addr, method, path, body string) (status int, reason string) {
 	t.Helper()
-	q, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
+	request, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 	client := http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	r, err := client.Do(q)
+	r, err := client.Do(request)
 	if err != nil {
 		t.Fatalf("%s %s: %v", method, path, err)
 	}
@@ -73,66 +74,86 @@
 	}
 }
 
-// TestEvacuation guards against an evacuation that keeps idle or new clients, cuts off those it serves, closes the path
-// of callbacks, or cannot be undone.
-func TestEvacuation(t *testing.T) {
-	var w *harness
-	release := make(chan bool)
+// evacuationScenario is a dispatcher with three client sessions: fresh has said nothing, rested has had an answer, and working
+// has a job at the runner that is held until release is closed.
+type evacuationScenario struct {
+	*harness
+	release                chan bool
+	fresh, rested, working net.Conn
+}
+
+func newEvacuationScenario(t *testing.T) *evacuationScenario {
+	t.Helper()
+	s := &evacuationScenario{release: make(chan bool)}
 	u := newRunner(t, "s-1", func(_ int, rw http.ResponseWriter, r *http.Request) {
+		id := r.Header.Get("X-Call-Id")
 		if r.URL.Path == "/score/held" {
-			w.reportResult(r.Header.Get("X-Call-Id"), "s-1", `"state":"started"`)
-			<-release
+			s.reportResult(id, "s-1", `"state":"started"`)
+			<-s.release
 		}
 		rw.WriteHeader(202)
-		go w.reportResult(r.Header.Get("X-Call-Id"), "s-1", `"state":"done","result":"ok","load":{"outstanding":0,"x0":4,"utilization":0}`)
+		go s.reportResult(id, "s-1", `"state":"done","result":"ok","load":{"outstanding":0,"x0":4,"utilization":0}`)
 	})
-	w = startHarness(t, options{console: true}, u.target("ready", 1))
-	ask := func(c net.Conn, path string) {
-		t.Helper()
-		fmt.Fprintf(c, "POST /score/%s HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget-Ms: 4900\r\n\r\n", path, c.LocalAddr().(*net.TCPAddr).String())
-	}
-	fresh, rested, working := w.dial(), w.dial(), w.dial()
-	ask(rested, "a")
-	if r, err := http.ReadResponse(bufio.NewReader(rested), nil); err != nil || r.StatusCode != 200 {
+	s.harness = startHarness(t, options{console: true}, u.target("ready", 1))
+	s.fresh, s.rested, s.working = s.dial(), s.dial(), s.dial()
+	postJob(s.rested, "a", s.rested.LocalAddr().String(), "")
+	if r, err := http.ReadResponse(bufio.NewReader(s.rested), nil); err != nil || r.StatusCode != 200 {
 		t.Fatalf("before: %v, %v", r, err)
 	}
-	ask(working, "held")
-	w.eventually("the job that is held", func() bool { return u.jobs() == 2 })
-	if status, _ := w.operator("PUT", "/api/evacuate", ""); status != 200 {
-		t.Fatalf("evacuate: %d", status)
-	}
-	if got := w.sendRaw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 503") {
-		t.Errorf("health while away: %q", got)
-	}
-	for name, c := range map[string]net.Conn{"fresh": fresh, "rested": rested} {
-		if got := readUntilClosed(c); strings.Contains(got, "HTTP/1.1 5") {
-			t.Errorf("the %s one was told %q", name, got)
-		}
+	postJob(s.working, "held", s.working.LocalAddr().String(), "")
+	s.eventually("the job that is held", func() bool { return u.jobs() == 2 })
+	return s
+}
+
+// expectHealth checks the status of the health check.
+func (s *evacuationScenario) expectHealth(when, status string) {
+	s.t.Helper()
+	if got := s.sendRaw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 "+status) {
+		s.t.Errorf("health %s: %q", when, got)
 	}
-	late := w.dial()
-	ask(late, "b")
+}
+
+// sendLateJobs submits jobs on new connections: one is served or rejected and closed, and in time they are rejected.
+func (s *evacuationScenario) sendLateJobs() {
+	s.t.Helper()
+	late := s.dial()
+	postJob(late, "b", late.LocalAddr().String(), "")
 	got := readUntilClosed(late)
 	answered := strings.HasPrefix(got, "HTTP/1.1 200") || strings.HasPrefix(got, "HTTP/1.1 503")
 	if !answered || !strings.Contains(got, "Connection: close") {
-		t.Errorf("one who comes late: %q", got)
+		s.t.Errorf("one who comes late: %q", got)
 	}
-	w.eventually("jobs are turned away", func() bool {
-		c := w.dial()
-		ask(c, "c")
+	s.eventually("jobs are turned away", func() bool {
+		c := s.dial()
+		postJob(c, "c", c.LocalAddr().String(), "")
 		return strings.HasPrefix(readUntilClosed(c), "HTTP/1.1 503")
 	})
-	close(release) // its callback arrives at the port from which clients are turned away
-	if got := readUntilClosed(working); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.Contains(got, "Connection: close") {
+}
+
+// TestEvacuation guards against an evacuation that keeps idle or new clients, cuts off those it serves, closes the path
+// of callbacks, or cannot be undone.
+func TestEvacuation(t *testing.T) {
+	s := newEvacuationScenario(t)
+	if status, _ := s.operator("PUT", "/api/evacuate", ""); status != 200 {
+		t.Fatalf("evacuate: %d", status)
+	}
+	s.expectHealth("while away", "503")
+	for name, c := range map[string]net.Conn{"fresh": s.fresh, "rested": s.rested} {
+		if got := readUntilClosed(c); strings.Contains(got, "HTTP/1.1 5") {
+			t.Errorf("the %s one was told %q", name, got)
+		}
+	}
+	s.sendLateJobs()
+	close(s.release) // its callback arrives at the port at which clients are rejected
+	if got := readUntilClosed(s.working); !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.Contains(got, "Connection: close") {
 		t.Errorf("the one at work: %q", got)
 	}
-	if status, _ := w.operator("PUT", "/api/rejoin", ""); status != 200 {
+	if status, _ := s.operator("PUT", "/api/rejoin", ""); status != 200 {
 		t.Fatalf("rejoin: %d", status)
 	}
-	if got := w.sendRaw("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 200") {
-		t.Errorf("health once back: %q", got)
-	}
-	w.eventually("it serves again", func() bool {
-		status, _, header := w.requestJob("score", 4000)
+	s.expectHealth("once back", "200")
+	s.eventually("it serves again", func() bool {
+		status, _, header := s.requestJob("score", 4000)
 		return status == 200 && header.Get("Connection") == ""
 	})
 }
@@ -173,6 +194,20 @@
 	}
 }
 
+// expectUnused submits jobs, and checks that s-1 serves them and out gets none.
+func (h *harness) expectUnused(when string, out *runner) {
+	h.t.Helper()
+	before := out.jobs()
+	for range 5 {
+		if status, body, _ := h.requestJob("score", 4000); status != 200 || body != "s-1" {
+			h.t.Errorf("%s: %d %q", when, status, body)
+		}
+	}
+	if got := out.jobs() - before; got != 0 {
+		h.t.Errorf("%s: %d jobs for the member that is out", when, got)
+	}
+}
+
 // TestExclusion guards against an excluded worker that is used, whatever discovery sends, across a reload and a new
 // process; and against one that stays unused once it is included again.
 func TestExclusion(t *testing.T) {
@@ -182,47 +217,29 @@
 	o := options{console: true, tempDir: t.TempDir()}
 	both := []string{out.target("ready", 0), in.target("ready", 0)}
 	w = startHarness(t, o, both...)
-	say := func(call, body string, want int) {
-		t.Helper()
-		if got, reason := w.operator("PUT", "/api/"+call, body); got != want || reason == "" {
-			t.Errorf("%s %s: %d %q, want %d", call, body, got, reason, want)
-		}
-	}
 	for _, body := range []string{"", "[]", "null", "{}", `{"member":7}`, `{"member":""}`, `{"member":null}`, `{"member":"s-0"`} {
-		say("exclude", body, 400)
-	}
-	say("exclude", `{"member":"s-9"}`, 404)
-	say("include", `{"member":"s-9"}`, 404)
-	say("exclude", `{"member":"s-0"}`, 200)
-	say("exclude", `{"member":"s-0"}`, 200)
-	unused := func(when string) {
-		t.Helper()
-		before := out.jobs()
-		for range 5 {
-			if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
-				t.Errorf("%s: %d %q", when, status, body)
-			}
-		}
-		if got := out.jobs() - before; got != 0 {
-			t.Errorf("%s: %d jobs for the member that is out", when, got)
-		}
+		w.callAdmin(400, "PUT", "/api/exclude", body)
 	}
-	unused("out")
+	w.callAdmin(404, "PUT", "/api/exclude", `{"member":"s-9"}`)
+	w.callAdmin(404, "PUT", "/api/include", `{"member":"s-9"}`)
+	w.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-0"}`)
+	w.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-0"}`)
+	w.expectUnused("out", out)
 	for i, line := range []string{out.target("gone", 0), out.target("ready", 0)} {
 		w.sendDiscoveryLine(fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, 10+i, line))
-		w.eventually("the change", func() bool { return strings.Contains(w.log.String(), fmt.Sprintf(`"rev": %d`, 10+i)) })
-		unused(line)
+		w.awaitLog("the change", fmt.Sprintf(`"rev": %d`, 10+i))
+		w.expectUnused(line, out)
 	}
 	w.reload("program: reloaded")
-	unused("after a reload")
+	w.expectUnused("after a reload", out)
 	w.awaitCallbacks()
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
 	o.listen = w.addr
 	w = startHarness(t, o, both...)
-	unused("in the next process")
-	say("include", `{"member":"s-0"}`, 200)
-	say("include", `{"member":"s-0"}`, 200)
+	w.expectUnused("in the next process", out)
+	w.callAdmin(200, "PUT", "/api/include", `{"member":"s-0"}`)
+	w.callAdmin(200, "PUT", "/api/include", `{"member":"s-0"}`)
 	w.eventually("it is used again", func() bool {
 		_, body, _ := w.requestJob("score", 4000)
 		return body == "s-0"
@@ -236,7 +253,7 @@
 	u := newRunner(t, "s-1", func(n int, rw http.ResponseWriter, r *http.Request) { w.replyWith("s-1", "ok")(n, rw, r) })
 	w = startHarness(t, options{}, u.target("ready", 1))
 	w.sendDiscoveryLine(`{"rev":41,"all":false,"targets":[` + u.target("ready", 1) + `]}`)
-	w.eventually("the list", func() bool { return strings.Contains(w.log.String(), `"rev": 41`) })
+	w.awaitLog("the list", `"rev": 41`)
 	w.retryAfter.Store(1)
 	asked := func() int {
 		w.mu.Lock()
--- a/internal/dispatcher/server/pause.go
+++ b/internal/dispatcher/server/pause.go
@@ -9,7 +9,7 @@
 
 const (
 	minResumeDelay = 0.05 // seconds after a pause during which a message may be one that was buffered before it
-	maxResumeWait  = 1.0  // seconds after a pause for which jobs wait for news; then they are rejected instead
+	maxResumeWait  = 1.0  // seconds after a pause for which jobs wait for contact; then they are rejected instead
 )
 
 // handlePause follows a pause of the whole process, late seconds long. What it knew may be outdated by then, so it sends
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -48,8 +48,12 @@
 	if config.discovery.IsValid() {
 		s.discovery.SetAddress(config.discovery)
 	}
-	s.log.Info("program: reloaded", zap.String("discovery", config.Discovery), zap.Int("sockets", config.Limits.Sockets),
-		zap.Int("memory_mb", config.Limits.MemoryMB), zap.Strings("needs_restart", restart))
+	s.log.Info("program: reloaded",
+		zap.String("discovery", config.Discovery),
+		zap.Int("sockets", config.Limits.Sockets),
+		zap.Int("memory_mb", config.Limits.MemoryMB),
+		zap.Strings("needs_restart", restart),
+	)
 }
 
 // rereadConfig reads the files again. The environment is that of the start, so an address of discovery in the file, which is
--- a/internal/dispatcher/server/reload_test.go
+++ b/internal/dispatcher/server/reload_test.go
@@ -23,6 +23,7 @@
 	answers chan bool
 }
 
+// startOtherDiscovery starts the service.
 func startOtherDiscovery(t *testing.T, listed *runner) *otherDiscovery {
 	t.Helper()
 	d := &otherDiscovery{
@@ -64,7 +65,7 @@
 	runners := newNamedRunners(t, 2, func() *harness { return w })
 	w = startHarness(t, options{}, runners[0].target("ready", 0))
 	w.sendDiscoveryLine(`{"rev":41,"all":false,"targets":[` + runners[0].target("ready", 0) + `]}`)
-	w.eventually("the old address is heard", func() bool { return strings.Contains(w.log.String(), `"rev": 41`) })
+	w.awaitLog("the old address is heard", `"rev": 41`)
 	other := startOtherDiscovery(t, runners[1])
 
 	rejectInvalidFile(t, w, other)
@@ -95,7 +96,7 @@
 	w.reload("program: reloaded")
 	<-other.asked
 	w.discovery.CloseClientConnections() // the old address ends before the new one answers
-	w.eventually("the old watch has ended", func() bool { return strings.Contains(w.log.String(), "watch ended") })
+	w.awaitLog("the old watch has ended", "watch ended")
 	w.expectResult("s-0")
 	w.mu.Lock()
 	if diff := cmp.Diff([]string{"stream=1&index=1"}, w.watches); diff != "" {
@@ -103,7 +104,7 @@
 	}
 	w.mu.Unlock()
 	close(other.answers)
-	w.eventually("the new address is heard", func() bool { return strings.Contains(w.log.String(), `"rev": 7`) })
+	w.awaitLog("the new address is heard", `"rev": 7`)
 	w.expectResult("s-1")
 	<-other.asked
 	if diff := cmp.Diff([]string{"", "stream=1&index=7"}, []string{<-other.queries, <-other.queries}); diff != "" {
@@ -115,7 +116,7 @@
 func reloadWhileDraining(t *testing.T, w *harness) {
 	t.Helper()
 	exit := w.terminate()
-	w.eventually("stopping", func() bool { return strings.Contains(w.log.String(), "program: stopping") })
+	w.awaitLog("stopping", "program: stopping")
 	w.configure("discovery", strings.TrimPrefix(w.discovery.URL, "http://"))
 	w.cmd.Process.Signal(syscall.SIGHUP)
 	if err := <-exit; err != nil {
--- a/internal/dispatcher/server/server.go
+++ b/internal/dispatcher/server/server.go
@@ -171,7 +171,8 @@
 	return s, s.startWithoutPredecessor()
 }
 
-// connectDispatcher builds the HTTP front, the connections to workers and the discovery client. None is started.
+// connectDispatcher builds the HTTP front, the connections to workers, the limiter of admission that both fronts share, and
+// the discovery client. None is started.
 func (s *Server) connectDispatcher() {
 	loop, log, config := s.loop, s.log, s.config
 	settings := &config.dispatcherSettings
@@ -219,7 +220,11 @@
 		return err
 	}
 	s.serving = true
-	s.log.Info("program: serving", zap.String("name", s.config.Name), zap.String("listen", s.config.Listen),
-		zap.String("discovery", s.config.Discovery), zap.Bool("gearman", s.gearman != nil))
+	s.log.Info("program: serving",
+		zap.String("name", s.config.Name),
+		zap.String("listen", s.config.Listen),
+		zap.String("discovery", s.config.Discovery),
+		zap.Bool("gearman", s.gearman != nil),
+	)
 	return nil
 }
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -36,6 +36,7 @@
 	return (&Config{tempDir: o.tempDir, Name: "n0", Listen: o.listen}).tempPath(".upgrade")
 }
 
+// callAdmin makes a call at the second address, and checks its status and that a reason comes with it.
 func (h *harness) callAdmin(want int, method, path, body string) {
 	h.t.Helper()
 	if got, reason := h.operator(method, path, body); got != want || reason == "" {
@@ -43,14 +44,14 @@
 	}
 }
 
-// postJob writes a job, or what is left of it, on a connection.
-func postJob(c net.Conn, path, id, from string) string {
+// postJob writes a job on a connection, without the beginning that was sent before.
+func postJob(c net.Conn, path, id, sent string) {
 	text := fmt.Sprintf("POST /score/%s HTTP/1.1\r\nX-Call-Id: %s\r\nX-Budget-Ms: 4900\r\n\r\n", path, id)
-	io.WriteString(c, text[len(from):])
-	return text
+	io.WriteString(c, text[len(sent):])
 }
 
-func served(t *testing.T, what string, c net.Conn) {
+// checkServed reads an answer, and checks that the job was served and the connection stays open.
+func checkServed(t *testing.T, what string, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -75,6 +76,7 @@
 	halfSent string    // what halfway has sent
 }
 
+// newUpgradeScenario starts the dispatcher and its runners, and opens the sessions.
 func newUpgradeScenario(t *testing.T) *upgradeScenario {
 	t.Helper()
 	s := &upgradeScenario{
@@ -118,7 +120,7 @@
 func (s *upgradeScenario) useSessions() {
 	s.t.Helper()
 	postJob(s.rested, "a", "r0", "")
-	served(s.t, "before", s.rested)
+	checkServed(s.t, "before", s.rested)
 	io.WriteString(s.halfway, s.halfSent)
 	postJob(s.working, "held", "w0", "")
 	s.first.eventually("the job that is held", func() bool { return s.a.jobs()+s.c.jobs() == 2 })
@@ -132,13 +134,13 @@
 	if !strings.Contains(next.log.String(), `"members_out": 1`) {
 		s.t.Error("the new one has not taken over who is out")
 	}
-	s.first.eventually("the old one leaves", func() bool { return strings.Contains(s.first.log.String(), "takes the clients") })
+	s.first.awaitLog("the old one leaves", "takes the clients")
 	postJob(s.rested, "a", "r1", "")
-	served(s.t, "a session that had rested", s.rested)
+	checkServed(s.t, "a session that had rested", s.rested)
 	postJob(s.halfway, "a", "h0", s.halfSent)
-	served(s.t, "a session that was half way", s.halfway)
+	checkServed(s.t, "a session that was half way", s.halfway)
 	postJob(s.fresh, "a", "f0", "")
-	served(s.t, "a session that had said nothing", s.fresh)
+	checkServed(s.t, "a session that had said nothing", s.fresh)
 	return next
 }
 
@@ -147,9 +149,7 @@
 func (s *upgradeScenario) changeExclusions(next *harness) {
 	s.t.Helper()
 	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the predecessor is informed, too
-	s.first.eventually("the old one obeys", func() bool {
-		return strings.Contains(s.first.log.String(), `program: exclude	{"member": "s-c"}`)
-	})
+	s.first.awaitLog("the old one obeys", `program: exclude	{"member": "s-c"}`)
 	next.callAdmin(200, "PUT", "/api/include", `{"member":"s-c"}`)
 	for range 20 { // enough to find an excluded worker that is used
 		if status, _, _ := next.requestJob("score", 4000); status != 200 {
@@ -163,12 +163,12 @@
 	s.t.Helper()
 	exit := s.first.terminate()
 	close(s.release) // the successor gets the callback of its predecessor's job
-	served(s.t, "the job that was open", s.working)
+	checkServed(s.t, "the job that was open", s.working)
 	if err := <-exit; err != nil {
 		s.t.Errorf("the old one's exit: %v", err)
 	}
 	postJob(s.working, "a", "w1", "")
-	served(s.t, "the session that was at work", s.working)
+	checkServed(s.t, "the session that was at work", s.working)
 	if s.b.jobs() != 0 {
 		s.t.Errorf("%d jobs for the member that is out", s.b.jobs())
 	}
@@ -190,7 +190,7 @@
 	}
 	for name, c := range sessions {
 		postJob(c, "a", name, "")
-		served(s.t, "after the second upgrade, "+name, c)
+		checkServed(s.t, "after the second upgrade, "+name, c)
 	}
 	last.callAdmin(200, "PUT", "/api/include", `{"member":"s-b"}`)
 	s.first.eventually("it is used again", func() bool {
@@ -211,6 +211,38 @@
 	s.upgradeAgain(next)
 }
 
+// expectServes waits until a process serves a job.
+func expectServes(process *harness, when string) {
+	process.t.Helper()
+	process.eventually(when, func() bool {
+		status, body, _ := process.requestJob("score", 4000)
+		return status == 200 && body == "ok"
+	})
+}
+
+// failSuccessors has successors fail at each step of an upgrade, and checks that the process serves after each.
+func failSuccessors(t *testing.T, w *harness, o options) {
+	t.Helper()
+	for _, tc := range []struct{ frames, logged string }{
+		{string(handover.AppendFrame(nil, handover.Hello, []byte("{}"))), "gone before it took over"},
+		{string(handover.AppendFrame(nil, handover.Takeover, []byte("{}"))), "gone, taking back"},
+		{string(handover.AppendFrame(nil, handover.State, []byte("{}"))), "out of turn"},
+		{"R\x09", "another version"},
+	} {
+		c, err := net.Dial("unix", upgradePath(o))
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.WriteString(c, tc.frames)
+		if strings.Contains(tc.logged, "taking back") {
+			w.awaitLog("it leaves", "takes the clients")
+		}
+		time.AfterFunc(50*time.Millisecond, func() { c.Close() })
+		w.awaitLog(tc.logged, tc.logged)
+		expectServes(w, "after: "+tc.logged)
+	}
+}
+
 // TestUpgradeFailure guards against a failed upgrade that leaves nobody to serve: the successor ends before or after it
 // took the clients over, is of another version, or the predecessor is killed with a job open.
 func TestUpgradeFailure(t *testing.T) {
@@ -227,31 +259,7 @@
 	o := options{console: true, tempDir: t.TempDir()}
 	o.listen, o.inherit = inheritedListener(t)
 	w = startHarness(t, o, u.target("ready", 0))
-	serves := func(p *harness, when string) {
-		t.Helper()
-		p.eventually(when, func() bool {
-			status, body, _ := p.requestJob("score", 4000)
-			return status == 200 && body == "ok"
-		})
-	}
-	for _, tc := range []struct{ frames, word string }{
-		{string(handover.AppendFrame(nil, handover.Hello, []byte("{}"))), "gone before it took over"},
-		{string(handover.AppendFrame(nil, handover.Takeover, []byte("{}"))), "gone, taking back"},
-		{string(handover.AppendFrame(nil, handover.State, []byte("{}"))), "out of turn"},
-		{"R\x09", "another version"},
-	} {
-		c, err := net.Dial("unix", upgradePath(o))
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.WriteString(c, tc.frames)
-		if strings.Contains(tc.word, "taking back") {
-			w.eventually("it leaves", func() bool { return strings.Contains(w.log.String(), "takes the clients") })
-		}
-		time.AfterFunc(50*time.Millisecond, func() { c.Close() })
-		w.eventually(tc.word, func() bool { return strings.Contains(w.log.String(), tc.word) })
-		serves(w, "after: "+tc.word)
-	}
+	failSuccessors(t, w, o)
 
 	working := w.dial()
 	postJob(working, "mute", "w0", "")
@@ -263,11 +271,11 @@
 		t.Errorf("a job that died with its process was told %q", got)
 	}
 	next.reportResult("w0", "s-1", `"state":"done","result":"late"`) // no process has the job any more
-	serves(next, "the old one was killed")
+	expectServes(next, "the old one was killed")
 	next.awaitCallbacks()
 	next.cmd.Process.Kill()
 	next.cmd.Wait()
-	serves(next.startSuccessor(o), "both were killed") // a stale socket stands at the path
+	expectServes(next.startSuccessor(o), "both were killed") // a stale socket stands at the path
 }
 
 // TestUpgradeFromUnresponsivePredecessor guards against a start that waits for ever: for a process that holds the path
@@ -346,7 +354,7 @@
 	}
 	defer successor.Close()
 	successor.Write(handover.AppendFrame(handover.AppendFrame(nil, handover.Hello, []byte("{}")), handover.Takeover, []byte("{}")))
-	w.eventually("it leaves", func() bool { return strings.Contains(w.log.String(), "takes the clients") })
+	w.awaitLog("it leaves", "takes the clients")
 	for _, c := range back { // the successor's stay unread
 		body := `{"id":"x","from":"s-1","state":"started"}`
 		fmt.Fprintf(c, "POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -388,7 +396,7 @@
 	o.args = []string{"-gearman", g.file}
 	next := g.startSuccessor(o)
 	next.callAdmin(200, "GET", "/api/ready", "")
-	g.eventually("the old one leaves", func() bool { return strings.Contains(g.log.String(), "takes the clients") })
+	g.awaitLog("the old one leaves", "takes the clients")
 	exit := g.terminate()
 	close(release)
 	if got := client.want(gm.WorkComplete).Args[1]; got != "did held" {
