--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -1,6 +1,10 @@
 package placement
 
-import "time"
+import (
+	"time"
+
+	"cinderroad/internal/system/intrusivelist"
+)
 
 // Outcome is how an attempt ended.
 type Outcome uint8
@@ -47,78 +51,14 @@
 	announced      bool    // its prompt is long enough for a notice to the other proxies
 	endedSuspicion bool    // its first event ended the suspicion of its runner
 	ended          bool
-	prev, next     *Attempt // neighbours in runnerState.pending
-}
-
-// attemptList is an intrusive list of attempts in the order in which they were sent.
-type attemptList struct{ head, tail *Attempt }
-
-func (l *attemptList) push(a *Attempt) {
-	a.prev = l.tail
-	a.next = nil
-	if l.tail != nil {
-		l.tail.next = a
-	} else {
-		l.head = a
-	}
-	l.tail = a
+	links          intrusivelist.Links[Attempt]
 }
 
-func (l *attemptList) remove(a *Attempt) {
-	if a.prev != nil {
-		a.prev.next = a.next
-	} else {
-		l.head = a.next
-	}
-	if a.next != nil {
-		a.next.prev = a.prev
-	} else {
-		l.tail = a.prev
-	}
-	a.prev, a.next = nil, nil
-}
-
-// tokenDemand is what a request asks of an engine's memory.
-type tokenDemand struct {
-	uniqueTokens     float64 // prompt tokens that no other request shares
-	sharedTokens     float64 // prompt tokens that may be cached
-	outputTokens     float64 // expected generated tokens
-	prefix           uint64  // hash of the shared chunks; 0: the route has no prefix affinity
-	lastSharedTokens float64 // prompt tokens of the last shared chunk
-}
+// attemptList is a list of attempts in the order in which they were sent.
+type attemptList = intrusivelist.List[Attempt, *Attempt]
 
-// memoryTokens is the memory that a request takes, in tokens.
-func (d *tokenDemand) memoryTokens(cached bool) float64 {
-	if cached {
-		return d.uniqueTokens + d.outputTokens
-	}
-	return d.uniqueTokens + d.sharedTokens + d.outputTokens
-}
-
-// demandOf computes what a request asks of a service's runners; nothing if they are no engines.
-func (p *Placer) demandOf(service *serviceState, request *Request) (demand tokenDemand) {
-	if !service.isEngine() {
-		return demand
-	}
-	for i, chunk := range request.Chunks {
-		if i < len(request.Chunks)-1 {
-			demand.sharedTokens += float64(chunk.Tokens)
-		} else {
-			demand.uniqueTokens += float64(chunk.Tokens)
-		}
-	}
-	if in := float64(request.InputTokens); in > demand.uniqueTokens+demand.sharedTokens {
-		demand.uniqueTokens = in - demand.sharedTokens
-	}
-	if request.Route != nil && request.Route.PrefixAffinity {
-		demand.prefix = prefixHash(request.Chunks)
-		demand.lastSharedTokens = lastSharedTokens(request.Chunks)
-	}
-	if request.Route != nil {
-		demand.outputTokens = float64(request.MaxOutputTokens) * p.statsOf(request.Route).outputShare
-	}
-	return demand
-}
+// ListLinks returns the attempt's neighbours in runnerState.pending.
+func (r *reservation) ListLinks() *intrusivelist.Links[Attempt] { return &r.links }
 
 // StartAttempt reserves capacity, tokens and budgets for an attempt. If the runner has been removed since the choice, only
 // the budgets are charged.
@@ -174,7 +114,7 @@
 	r.spareTokens -= attempt.tokens
 	r.ownAttempts++
 	r.lastSentAt = attempt.sentAt
-	r.pending.push(attempt)
+	r.pending.PushBack(attempt)
 }
 
 // endPrefill releases the weight of an attempt's prefill.
@@ -184,7 +124,7 @@
 	r.spareSlots += attempt.prefillWeight
 	attempt.weight -= attempt.prefillWeight
 	attempt.prefillWeight = 0
-	r.pending.remove(attempt)
+	r.pending.Remove(attempt)
 }
 
 // removeAttempt releases all that is still reserved for an attempt.
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -78,7 +78,7 @@
 	for _, runner := range service.runners {
 		runner.meanUsage.smooth(&runner.ownUsage, rate)
 		runner.excessWait *= decay
-		if attempt := runner.pending.head; attempt != nil { // it still waits, which says more than attempts that ended earlier
+		if attempt := runner.pending.First(); attempt != nil { // it still waits, which says more than attempts that ended earlier
 			expected := p.expectedFirstEvent(service, runner, attempt.prefillTokens)
 			runner.excessWait = math.Max(runner.excessWait, (now-attempt.sentAt).Seconds()-expected)
 		}
--- a/internal/system/placement/placer_test.go
+++ b/internal/system/placement/placer_test.go
@@ -154,7 +154,7 @@
 			Duration:         3 * time.Millisecond,
 		})
 		placer.EndAttempt(now+3*time.Millisecond, a, Succeeded, Progress{}) // ended twice
-		released := runner.ownUsage == usage{} && runner.ownAttempts == 0 && runner.pending.head == nil
+		released := runner.ownUsage == usage{} && runner.ownAttempts == 0 && runner.pending.First() == nil
 		if runner.spareSlots != spareSlots || runner.spareTokens != tokens || !released {
 			t.Errorf("%s: %+v after the end", service, runner)
 		}
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"cinderroad/internal/shared/eventloop"
+	"cinderroad/internal/system/intrusivelist"
 )
 
 const (
@@ -28,7 +29,7 @@
 	lastDataAt           time.Duration
 	timer                *eventloop.Timer
 
-	previous, next *session // in the session list, longest idle first
+	links intrusivelist.Links[session] // in the session list
 }
 
 // accept creates the session of a new connection.
--- a/internal/system/proxy/session_list.go
+++ b/internal/system/proxy/session_list.go
@@ -1,66 +1,35 @@
 package proxy
 
-import "iter"
+import (
+	"iter"
 
-// sessionList holds the open sessions, longest idle first. It is intrusive, so that moving a session allocates nothing.
+	"cinderroad/internal/system/intrusivelist"
+)
+
+// sessionList holds the open sessions, longest idle first.
 type sessionList struct {
-	first, last *session
-	count       int
+	list  intrusivelist.List[session, *session]
+	count int
 }
 
+// ListLinks returns the session's neighbours in the session list.
+func (s *session) ListLinks() *intrusivelist.Links[session] { return &s.links }
+
 func (l *sessionList) add(s *session) {
 	l.count++
-	l.pushBack(s)
-}
-
-func (l *sessionList) pushBack(s *session) {
-	s.previous = l.last
-	s.next = nil
-	if l.last != nil {
-		l.last.next = s
-	} else {
-		l.first = s
-	}
-	l.last = s
-}
-
-func (l *sessionList) unlink(s *session) {
-	if s.previous != nil {
-		s.previous.next = s.next
-	} else {
-		l.first = s.next
-	}
-	if s.next != nil {
-		s.next.previous = s.previous
-	} else {
-		l.last = s.previous
-	}
-	s.previous, s.next = nil, nil
-}
-
-// moveToBack marks a session as the most recently used.
-func (l *sessionList) moveToBack(s *session) {
-	l.unlink(s)
-	l.pushBack(s)
+	l.list.PushBack(s)
 }
 
 func (l *sessionList) remove(s *session) {
-	l.unlink(s)
+	l.list.Remove(s)
 	l.count--
 }
 
+// moveToBack marks a session as the most recently used.
+func (l *sessionList) moveToBack(s *session) { l.list.MoveToBack(s) }
+
 // all yields every session, the one idle longest first. The session that is yielded may be removed meanwhile.
-func (l *sessionList) all() iter.Seq[*session] {
-	return func(yield func(*session) bool) {
-		for s := l.first; s != nil; {
-			next := s.next
-			if !yield(s) {
-				return
-			}
-			s = next
-		}
-	}
-}
+func (l *sessionList) all() iter.Seq[*session] { return l.list.All() }
 
 // oldestIdle returns the session that has been idle longest; nil if none is idle.
 func (l *sessionList) oldestIdle() *session {
--- a/internal/system/proxy/stream_test.go
+++ b/internal/system/proxy/stream_test.go
@@ -157,7 +157,7 @@
 		written <- err
 	}()
 	h.waitFor("the runner is paused", func() bool {
-		for s := h.proxy.sessions.first; s != nil; s = s.next {
+		for s := range h.proxy.sessions.all() {
 			if s.exchange != nil && s.exchange.stalled {
 				return true
 			}
