--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -72,7 +72,8 @@
 
 // updateMeans moves the running means of a service's runners.
 func (p *Placer) updateMeans(now time.Duration, service *serviceState, elapsed float64) {
-	rate, decay := 1-math.Exp(-elapsed/usageWindow), math.Exp(-elapsed/waitDecay)
+	rate := 1 - math.Exp(-elapsed/usageWindow)
+	decay := math.Exp(-elapsed / waitDecay)
 	recovered := math.Min(elapsed/p.longestTimeout, 1)
 	service.meanUsage = usage{}
 	for _, runner := range service.runners {
@@ -111,8 +112,8 @@
 // deriveLoad computes a runner's load from this proxy's own requests there, the estimate of the others' and the waits
 // seen; and the spare capacity that remains below its limits.
 func (p *Placer) deriveLoad(now time.Duration, service *serviceState, runner *runnerState) {
-	total, others := runner.ownUsage, p.otherProxies()
-	total.add(&service.meanUsage, others)
+	total := runner.ownUsage
+	total.add(&service.meanUsage, p.otherProxies())
 	if p.hasRecentNotices(now) {
 		estimated := total.prefill - runner.ownUsage.prefill
 		announced := math.Max(runner.backlog.remaining(now, service.prefillRate())-runner.ownUsage.prefill, 0)
--- a/internal/system/placement/eligibility.go
+++ b/internal/system/placement/eligibility.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
@@ -29,25 +30,12 @@
 	if request.Route == nil || len(request.Route.HomeRegions) == 0 {
 		return true
 	}
-	for _, home := range request.Route.HomeRegions {
-		if home == runner.Region {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(request.Route.HomeRegions, runner.Region)
 }
 
 // servesModel reports whether a runner has a model; one that reports no models has all.
 func (r *runnerState) servesModel(model string) bool {
-	if model == "" || len(r.Models) == 0 {
-		return true
-	}
-	for _, candidate := range r.Models {
-		if candidate == model {
-			return true
-		}
-	}
-	return false
+	return model == "" || len(r.Models) == 0 || slices.Contains(r.Models, model)
 }
 
 // connectionLimit is this proxy's share of the connections that a runner accepts.
--- a/internal/system/placement/limits.go
+++ b/internal/system/placement/limits.go
@@ -17,7 +17,8 @@
 
 // learnFromFirstEvent learns from the time to a first event: the latency of the region, the prefill speed, the wait.
 func (p *Placer) learnFromFirstEvent(attempt *Attempt, elapsed float64) {
-	runner, service := attempt.runner, attempt.runner.service
+	runner := attempt.runner
+	service := runner.service
 	latency := &p.regions[runner.regionIndex].latency
 	if *latency == 0 || elapsed < *latency {
 		*latency = elapsed
@@ -61,7 +62,8 @@
 	if request.Route == nil {
 		return
 	}
-	stats, elapsed := p.statsOf(request.Route), progress.Duration.Seconds()
+	stats := p.statsOf(request.Route)
+	elapsed := progress.Duration.Seconds()
 	if elapsed <= 0 {
 		elapsed = (now - attempt.sentAt).Seconds()
 	}
@@ -81,7 +83,8 @@
 
 // metTargets reports whether an answer earns its full value.
 func metTargets(request *Request, progress Progress) bool {
-	route, first := request.Route, progress.TimeToFirstEvent
+	route := request.Route
+	first := progress.TimeToFirstEvent
 	if first <= 0 || route.EventGapTarget == 0 {
 		first = progress.Duration
 	}
--- a/internal/system/placement/peers.go
+++ b/internal/system/placement/peers.go
@@ -27,8 +27,8 @@
 }
 
 // SetPeers sets the keys of all proxies that may be sending, which implies their number. Only with keys can slow start be
-// shared among more proxies than a runner in slow start may get requests in a second. A proxy that is no longer named counts until
-// proxyRemovalDelay has passed.
+// shared among more proxies than a runner in slow start may get requests in a second. A proxy that is no longer named
+// counts until proxyRemovalDelay has passed.
 func (p *Placer) SetPeers(now time.Duration, self uint64, peers []uint64) {
 	p.recordCall(now)
 	p.selfKey = self
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -72,8 +72,7 @@
 	}
 	owners.global = p.isGlobal(request, demand)
 	for _, runner := range service.runners {
-		if runner.Draining || runner.TerminatesAt > 0 || now < runner.SlowStartUntil || p.evacuated[runner.Zone] ||
-			!inHomeRegion(request, runner) || !runner.servesModel(request.Model) {
+		if !p.mayOwnPrefix(now, request, runner) {
 			continue
 		}
 		score := capacity.Hash(demand.prefix ^ runner.key)
@@ -85,11 +84,17 @@
 	return owners
 }
 
-// isGlobal reports whether a prefix has one owner for all regions. It has one if the bytes of the few prompts
-// that a region is likely to send to the owner while the prefix is cached cost less than prefilling its last shared chunk in
-// that region, too. Earlier
-// chunks don't count: more prefixes share them, so they are likely to be prefilled anyway. How often a prefix comes is
-// estimated from the share of the route's requests whose prefix this proxy sent recently, since each proxy sees few of them.
+// mayOwnPrefix reports whether a runner may own the request's prefix.
+func (p *Placer) mayOwnPrefix(now time.Duration, request *Request, runner *runnerState) bool {
+	stays := !runner.Draining && runner.TerminatesAt <= 0 && !p.evacuated[runner.Zone]
+	return stays && now >= runner.SlowStartUntil && inHomeRegion(request, runner) && runner.servesModel(request.Model)
+}
+
+// isGlobal reports whether a prefix has one owner for all regions. It has one if the bytes of the few prompts that a
+// region is likely to send to the owner while the prefix is cached cost less than prefilling its last shared chunk in
+// that region, too. Earlier chunks don't count: more prefixes share them, so they are likely to be prefilled anyway. How
+// often a prefix comes is estimated from the share of the route's requests whose prefix this proxy sent recently, since
+// each proxy sees few of them.
 func (p *Placer) isGlobal(request *Request, demand *tokenDemand) bool {
 	if request.Route == nil || request.BodyBytes <= 0 || len(p.regions) < 2 {
 		return false
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -53,10 +53,13 @@
 		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner may take the request"}
 	}
 	wait := p.expectedWait(service, best)
-	if (rank >= rankNoSpare || service.shedding.mustYield(now, request)) && p.isHopeless(now, service, request, wait) {
+	mayReject := rank >= rankNoSpare || service.shedding.mustYield(now, request)
+	if mayReject && p.isHopeless(now, service, request, wait) {
 		service.shedding.recordRejection(now, request)
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, wait),
-			Reason: "all runners are over their concurrency limits"}
+		return Choice{}, &Rejection{
+			RetryAfter: p.retryAfter(now, request, wait),
+			Reason:     "all runners are over their concurrency limits",
+		}
 	}
 	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(service, request)}, nil
 }
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -9,9 +9,9 @@
 
 // This file decides what a runner in slow start gets. After a start it may get SlowStartRate*SlowStartFactor +
 // SlowStartAllowance requests in any second from all proxies together. Each proxy has an even share, which it spends evenly
-// spaced, so that it sends no more than its share in any second, whatever the others do. Where there are more proxies than the
-// runner may get requests in a second, only the first in an order drawn from the runner's and the proxies' keys use it: a proxy that
-// knows of more proxies than another never ranks earlier by that, so views that differ don't exceed the bound.
+// spaced, so that it sends no more than its share in any second, whatever the others do. Where there are more proxies than
+// the runner may get requests in a second, only the first in an order drawn from the runner's and the proxies' keys use it:
+// a proxy that knows of more proxies than another never ranks earlier by that, so views that differ don't exceed the bound.
 
 // Slow start.
 const (
@@ -54,7 +54,8 @@
 	if len(p.peers) == 0 {
 		return false
 	}
-	mine, position := capacity.Hash(runner.key^p.selfKey), 0
+	mine := capacity.Hash(runner.key ^ p.selfKey)
+	position := 0
 	for _, peer := range p.peers {
 		if capacity.Hash(runner.key^peer.key) < mine {
 			position++
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net/http"
 	"time"
 
 	"cinderroad/internal/shared/httpwire"
@@ -37,20 +38,29 @@
 
 // classify derives the verdict from the head of a runner's response.
 func classify(head *httpwire.ResponseHead) verdict {
-	notRun := head.Header.Has(headerNotRun)
+	failed := saysFailure(head.Status)
 	switch {
-	case head.Status == 421:
+	case head.Status == http.StatusMisdirectedRequest:
 		return verdictWrongRunner
-	case notRun && (head.Status >= 500 || head.Status == 429 || head.Status == 408):
+	case failed && head.Header.Has(headerNotRun):
 		return verdictNotRun
-	case head.Status >= 500 || head.Status == 429 || head.Status == 408:
+	case failed:
 		return verdictFailure
-	case head.Status < 300 && !head.Header.Has(headerSeal):
+	case head.Status < http.StatusMultipleChoices && !head.Header.Has(headerSeal):
 		return verdictInvalid
 	}
 	return verdictRelay
 }
 
+// saysFailure reports whether a runner's status says that it failed, or did not execute the request in time.
+func saysFailure(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusTooManyRequests:
+		return true
+	}
+	return status >= http.StatusInternalServerError
+}
+
 // requestSent reports whether the kernel has accepted the last byte of the request.
 func (a *attempt) requestSent() bool { return a.conn != nil && a.conn.requestSent() }
 
@@ -181,14 +191,20 @@
 	if impliesNotRun(head.Status) {
 		attempt.end(placement.Failed)
 		x.proxy.Counters.Failed++
-		x.respond(localResponse{status: 502, body: "runner failed"})
+		x.respond(localResponse{status: http.StatusBadGateway, body: "runner failed"})
 		return
 	}
 	x.relayHead(head)
 }
 
 // impliesNotRun reports whether a status would tell the client that the request was not executed.
-func impliesNotRun(status int) bool { return status == 429 || status == 503 || status == 408 }
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return true
+	}
+	return false
+}
 
 // handleConnFailure ends an attempt whose connection has failed.
 func (a *attempt) handleConnFailure(mayHaveRun bool) {
--- a/internal/system/proxy/event_stream.go
+++ b/internal/system/proxy/event_stream.go
@@ -70,7 +70,8 @@
 func (r *eventReader) discardConsumed(begin int) {
 	r.lineStart -= begin
 	rest := copy(r.partial, r.partial[begin:])
-	if r.partial = r.partial[:rest]; rest == 0 && cap(r.partial) > maxSpareBytes {
+	r.partial = r.partial[:rest]
+	if rest == 0 && cap(r.partial) > maxSpareBytes {
 		r.partial = nil
 	}
 }
@@ -116,12 +117,12 @@
 
 // idAfter reports whether an event id follows another. Ids that are not numbers are only compared for equality.
 func idAfter(last, id string) bool {
-	a, err1 := strconv.ParseInt(last, 10, 64)
-	b, err2 := strconv.ParseInt(id, 10, 64)
-	if err1 != nil || err2 != nil {
+	lastNumber, lastErr := strconv.ParseInt(last, 10, 64)
+	number, err := strconv.ParseInt(id, 10, 64)
+	if lastErr != nil || err != nil {
 		return id != last
 	}
-	return b > a
+	return number > lastNumber
 }
 
 // eventCounter counts the events of a stream that is forwarded without being split.
@@ -136,7 +137,8 @@
 		switch {
 		case b == '\r':
 		case b != '\n':
-			c.inLine, c.inEvent = true, true
+			c.inLine = true
+			c.inEvent = true
 		case c.inLine:
 			c.inLine = false
 		case c.inEvent:
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -8,6 +9,7 @@
 	"cinderroad/internal/shared/eventloop"
 	"cinderroad/internal/shared/httpwire"
 	"cinderroad/internal/shared/invariant"
+	"cinderroad/internal/system/configuration"
 	"cinderroad/internal/system/placement"
 )
 
@@ -59,31 +61,12 @@
 
 // admit validates the head. A request that cannot be served is answered immediately.
 func (x *exchange) admit() {
-	header := x.head.Header
-	tryID, once := header.GetUnique(headerTryID)
-	host, oneHost := header.GetUnique("Host")
-	x.tryID = tryID
-	x.request.ArrivedAt = x.session.nextRequestStartedAt
-	switch {
-	case !once || tryID == "" || len(tryID) > maxTryIDBytes || !httpwire.IsVisibleASCII(tryID):
-		x.decline(localResponse{status: 400, body: "X-Try-Id missing or bad"})
-		return
-	case !oneHost || host == "" || strings.ContainsAny(host, " \t/,"):
-		x.decline(localResponse{status: 400, body: "Host missing or bad"})
-		return
-	case x.proxy.routes == nil:
-		x.decline(localResponse{status: 503, retryAfter: startupRetryAfter, body: "configuration not known yet"})
-		return
-	}
-	route := x.proxy.routes.Lookup(host, x.head.Target)
-	if route == nil {
-		x.decline(localResponse{status: 404, body: "no route"})
-		return
-	}
-	if x.head.Body.Length > int64(x.proxy.limits.MaxBodyBytes) {
-		x.decline(localResponse{status: 413, body: "body too large"})
+	route, rejection := x.findRoute()
+	if rejection != nil {
+		x.decline(*rejection)
 		return
 	}
+	header := x.head.Header
 	x.request.Route = route
 	x.request.Service = x.proxy.splitter.nextService(route)
 	x.request.Model = header.Get(headerModel)
@@ -91,7 +74,11 @@
 	x.request.Chunks = parsePromptChunks(header.Get(headerPromptStart))
 	x.request.Deadline = x.request.ArrivedAt + parseTimeLeft(header, route.Timeout)
 	if x.request.Deadline <= x.proxy.now() {
-		x.decline(localResponse{status: 503, retryAfter: shortRetryAfter, body: "no time left"})
+		x.decline(localResponse{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: shortRetryAfter,
+			body:       "no time left",
+		})
 		return
 	}
 	x.eventReader.reset(header.Get(headerLastEventID))
@@ -99,6 +86,35 @@
 	x.session.sendContinue(x)
 }
 
+// findRoute records when the request began and its id, and returns its route, or the response to one that cannot be
+// served.
+func (x *exchange) findRoute() (*configuration.Route, *localResponse) {
+	tryID, hasOneID := x.head.Header.GetUnique(headerTryID)
+	host, hasOneHost := x.head.Header.GetUnique("Host")
+	x.tryID = tryID
+	x.request.ArrivedAt = x.session.nextRequestStartedAt
+	switch {
+	case !hasOneID || tryID == "" || len(tryID) > maxTryIDBytes || !httpwire.IsVisibleASCII(tryID):
+		return nil, &localResponse{status: http.StatusBadRequest, body: "X-Try-Id missing or bad"}
+	case !hasOneHost || host == "" || strings.ContainsAny(host, " \t/,"):
+		return nil, &localResponse{status: http.StatusBadRequest, body: "Host missing or bad"}
+	case x.proxy.routes == nil:
+		return nil, &localResponse{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: startupRetryAfter,
+			body:       "configuration not known yet",
+		}
+	}
+	route := x.proxy.routes.Lookup(host, x.head.Target)
+	switch {
+	case route == nil:
+		return nil, &localResponse{status: http.StatusNotFound, body: "no route"}
+	case x.head.Body.Length > int64(x.proxy.limits.MaxBodyBytes):
+		return nil, &localResponse{status: http.StatusRequestEntityTooLarge, body: "body too large"}
+	}
+	return route, nil
+}
+
 // decline responds without using the request body. If the body has not arrived completely, the connection is closed
 // after the response.
 func (x *exchange) decline(response localResponse) {
--- a/internal/system/proxy/exchange_end.go
+++ b/internal/system/proxy/exchange_end.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net/http"
 	"time"
 
 	"cinderroad/internal/system/placement"
@@ -13,13 +14,13 @@
 		x.abort()
 	case x.request.MayHaveRun:
 		x.proxy.Counters.Failed++
-		x.respond(localResponse{status: 502, body: "runner failed"})
+		x.respond(localResponse{status: http.StatusBadGateway, body: "runner failed"})
 	default:
 		if pause <= 0 {
 			pause = defaultRetryAfter
 		}
 		x.proxy.Counters.Rejected++
-		x.respond(localResponse{status: 503, retryAfter: pause, body: "no room"})
+		x.respond(localResponse{status: http.StatusServiceUnavailable, retryAfter: pause, body: "no room"})
 	}
 }
 
@@ -30,17 +31,17 @@
 	switch {
 	case x.state == exchangeReceiving:
 		x.finish()
-		x.session.rejectWith(408, "request not whole in time")
+		x.session.rejectIncomplete()
 	case x.response.started:
 		x.deadlineTimer = x.proxy.runAt(x.proxy.now()+deadlineGrace, x.abort)
 	case x.request.MayHaveRun || x.attempt != nil && x.attempt.connected: // the runner may have started with a part of the request
 		x.cancelAttempt(x.deadlineOutcome())
 		x.proxy.Counters.Failed++
-		x.respond(localResponse{status: 504, body: "no answer in time"})
+		x.respond(localResponse{status: http.StatusGatewayTimeout, body: "no answer in time"})
 	default:
 		x.cancelAttempt(placement.Cancelled)
 		x.proxy.Counters.Rejected++
-		x.respond(localResponse{status: 503, retryAfter: shortRetryAfter, body: "no runner reached in time"})
+		x.respond(localResponse{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, body: "no runner reached in time"})
 	}
 }
 
@@ -48,7 +49,7 @@
 func (x *exchange) endForShutdown() {
 	if x.state == exchangeReceiving {
 		x.finish()
-		x.session.rejectWith(503, "the proxy ends")
+		x.session.rejectWith(http.StatusServiceUnavailable, "the proxy ends")
 		return
 	}
 	if x.attempt != nil && x.attempt.connected { // the runner may have started with a part of the request
@@ -87,7 +88,8 @@
 func (x *exchange) abort() {
 	x.cancelAttempt(placement.Cancelled)
 	x.proxy.Counters.Aborted++
-	s, framed := x.session, x.response.isDelimited()
+	s := x.session
+	framed := x.response.isDelimited()
 	x.finish()
 	s.abort(framed)
 }
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -21,8 +21,13 @@
 // logRejection logs why the placer chose no runner.
 func (x *exchange) logRejection(rejection *placement.Rejection) {
 	if entry := x.proxy.log.Check(zap.DebugLevel, "refused"); entry != nil {
-		entry.Write(zap.String("try", x.tryID), zap.String("route", x.request.Route.Name), zap.String("reason", rejection.Reason),
-			zap.Duration("retry_after", rejection.RetryAfter), zap.Strings("tried", x.request.TriedRunners))
+		entry.Write(
+			zap.String("try", x.tryID),
+			zap.String("route", x.request.Route.Name),
+			zap.String("reason", rejection.Reason),
+			zap.Duration("retry_after", rejection.RetryAfter),
+			zap.Strings("tried", x.request.TriedRunners),
+		)
 	}
 }
 
@@ -68,7 +73,8 @@
 		return false
 	}
 	now := x.proxy.now()
-	if len(x.request.TriedRunners)-x.connectFailures >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
+	attempts := len(x.request.TriedRunners) - x.connectFailures
+	if attempts >= max(1, x.request.Route.MaxAttempts) || now >= x.request.Deadline {
 		return false
 	}
 	return x.proxy.placer.MayRetry(now, &x.request)
--- a/internal/system/proxy/monitor.go
+++ b/internal/system/proxy/monitor.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 	"net/netip"
 	"slices"
 
@@ -57,16 +58,16 @@
 // readyResponse answers the platform's readiness check.
 func (p *Proxy) readyResponse() monitorResponse {
 	if p.Ready() {
-		return monitorResponse{status: 200}
+		return monitorResponse{status: http.StatusOK}
 	}
-	return monitorResponse{status: 503}
+	return monitorResponse{status: http.StatusServiceUnavailable}
 }
 
 // metricsResponse is the page of the process's metrics.
 func (p *Proxy) metricsResponse() monitorResponse {
 	var page exposition.Page
 	p.writeMetrics(&page)
-	return monitorResponse{status: 200, contentType: exposition.ContentType, body: page.Bytes()}
+	return monitorResponse{status: http.StatusOK, contentType: exposition.ContentType, body: page.Bytes()}
 }
 
 func (e *monitorEndpoint) accept(conn *eventloop.Conn) eventloop.Handler {
@@ -132,11 +133,11 @@
 func (s *monitorSession) respond(request *httpwire.RequestHead, err error) monitorResponse {
 	switch {
 	case err != nil:
-		return monitorResponse{status: 400}
+		return monitorResponse{status: http.StatusBadRequest}
 	case pathOf(request.Target) != s.endpoint.path:
-		return monitorResponse{status: 404}
+		return monitorResponse{status: http.StatusNotFound}
 	case request.Method != "GET" && request.Method != "HEAD":
-		return monitorResponse{status: 405}
+		return monitorResponse{status: http.StatusMethodNotAllowed}
 	}
 	return s.endpoint.respond()
 }
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -146,7 +146,8 @@
 	if bandwidth <= 0 {
 		bandwidth = defaultLinkBytesPerSecond
 	}
-	now, rate := n.proxy.loop.Now(), noticeLinkFraction*bandwidth
+	now := n.proxy.loop.Now()
+	rate := noticeLinkFraction * bandwidth
 	n.budgetBytes = min(n.budgetBytes+rate*(now-n.refilledAt), rate*noticeBurstSeconds)
 	n.refilledAt = now
 	cost := float64(size)
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net/http"
 	"strings"
 
 	"cinderroad/internal/shared/httpwire"
@@ -22,7 +23,7 @@
 
 // canContinueWith reports whether another runner's response can continue the one that has begun.
 func (r *response) canContinueWith(head *httpwire.ResponseHead) bool {
-	return head.Status == 200 && hasEventStream(head)
+	return head.Status == http.StatusOK && hasEventStream(head)
 }
 
 func hasEventStream(head *httpwire.ResponseHead) bool {
@@ -38,14 +39,24 @@
 	x.transition(exchangeRelaying)
 	x.response.started = true
 	x.response.isEventStream = hasEventStream(head)
-	x.response.resumable = x.response.isEventStream && head.Status == 200 && x.request.Route.Resumable && x.head.Version == "HTTP/1.1"
+	x.response.resumable = x.response.isEventStream &&
+		head.Status == http.StatusOK &&
+		x.request.Route.Resumable &&
+		x.head.Version == "HTTP/1.1"
 	x.response.framing = x.framing(head)
 	if !x.response.resumable {
 		x.releaseBody()
 	}
 	s := x.session
 	s.closeAfterResponse = s.closeAfterResponse || x.response.framing == httpwire.UntilClose || x.proxy.shutdown.active
-	b := httpwire.AppendStatusLine(x.proxy.scratch[:0], head.Status, head.Reason)
+	b := x.appendResponseHead(x.proxy.scratch[:0], head)
+	x.proxy.scratch = b
+	s.write(b)
+}
+
+// appendResponseHead encodes the head of a runner's response for the client.
+func (x *exchange) appendResponseHead(b []byte, head *httpwire.ResponseHead) []byte {
+	b = httpwire.AppendStatusLine(b, head.Status, head.Reason)
 	for i := range head.Header {
 		if field := &head.Header[i]; head.Header.IsEndToEnd(field.Name) {
 			b = httpwire.AppendField(b, field.Name, field.Value)
@@ -57,14 +68,12 @@
 	case httpwire.Chunked:
 		b = httpwire.AppendField(b, "Transfer-Encoding", "chunked")
 	case httpwire.NoBody:
-		if length := head.Header.Get("Content-Length"); length != "" && head.Status != 204 {
+		if length := head.Header.Get("Content-Length"); length != "" && head.Status != http.StatusNoContent {
 			b = httpwire.AppendField(b, "Content-Length", length)
 		}
 	}
-	b = s.appendConnection(b)
-	b = append(b, "\r\n"...)
-	x.proxy.scratch = b
-	s.write(b)
+	b = x.session.appendConnection(b)
+	return append(b, "\r\n"...)
 }
 
 // framing returns how the response body is framed toward the client.
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -165,7 +165,8 @@
 	if c.state == connIdle && errors.Is(err, io.EOF) {
 		c.learnIdleTimeout()
 	}
-	if c.state == connReadingBody && c.framing == httpwire.UntilClose && errors.Is(err, io.EOF) && !c.attempt.endedMidEvent() {
+	endsResponse := c.state == connReadingBody && c.framing == httpwire.UntilClose && errors.Is(err, io.EOF)
+	if endsResponse && !c.attempt.endedMidEvent() {
 		c.closeAfterResponse = true
 		c.finishResponse(c.socket)
 		return
@@ -182,7 +183,8 @@
 // fail closes the connection and ends its attempt.
 func (c *runnerConn) fail(err error) {
 	p := c.runner.pool.proxy
-	a, mayHaveRun := c.attempt, c.mayHaveRun()
+	a := c.attempt
+	mayHaveRun := c.mayHaveRun()
 	if c.state != connIdle {
 		p.log.Debug("runner connection lost", zap.String("runner", c.runner.id), zap.Error(err))
 	}
--- a/internal/system/proxy/runner_response.go
+++ b/internal/system/proxy/runner_response.go
@@ -9,7 +9,8 @@
 
 // Data implements eventloop.Handler.
 func (c *runnerConn) Data(conn *eventloop.Conn) {
-	c.dataSinceCheck, c.responseStarted = true, true
+	c.dataSinceCheck = true
+	c.responseStarted = true
 	c.runner.lastDataAt = c.runner.pool.proxy.now()
 	for c.state != connClosed {
 		if !c.advance(conn) {
@@ -52,7 +53,8 @@
 	case c.matchesCurrent(&head):
 	case c.matchesPrevious(&head):
 		c.transition(connSkippingBody)
-		c.skippedPrevious, c.closeAfterResponse = true, true
+		c.skippedPrevious = true
+		c.closeAfterResponse = true
 		return true
 	default:
 		c.failProtocol(errMismatchedResponse)
--- a/internal/system/proxy/session_input.go
+++ b/internal/system/proxy/session_input.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 
 	"cinderroad/internal/shared/httpwire"
 )
@@ -52,12 +53,12 @@
 // limitHeadWait bounds how long a head may take from its first byte.
 func (s *session) limitHeadWait() {
 	if s.proxy.memoryExhausted() {
-		s.rejectWith(503, "no memory to wait for the rest")
+		s.rejectForMemory()
 		return
 	}
 	if !s.headTimerStarted {
 		s.headTimerStarted = true
-		s.setTimeout(s.proxy.limits.HeaderTimeout, func() { s.rejectWith(408, "request not whole in time") })
+		s.setTimeout(s.proxy.limits.HeaderTimeout, s.rejectIncomplete)
 	}
 }
 
@@ -74,7 +75,7 @@
 	switch {
 	case len(exchange.body) > s.proxy.limits.MaxBodyBytes:
 		exchange.finish()
-		s.rejectWith(413, "body too large")
+		s.rejectWith(http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	case done && s.socket.HungUp(): // the disconnect is reported next; nothing is sent for a client that has disconnected
 		return false
@@ -85,14 +86,14 @@
 		return s.exchange != nil
 	case s.proxy.memoryExhausted():
 		exchange.finish()
-		s.rejectWith(503, "no memory to wait for the rest")
+		s.rejectForMemory()
 		return false
 	case n > 0 && len(s.socket.Bytes()) > 0:
 		return true
 	}
 	s.setTimeout(s.proxy.limits.IdleTimeout, func() {
 		exchange.finish()
-		s.rejectWith(408, "request not whole in time")
+		s.rejectIncomplete()
 	})
 	return false
 }
