--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -26,7 +26,8 @@
 
 // Tables are an agent's partitions. They are not safe for concurrent use. Times are of the caller's monotonic clock.
 type Tables struct {
-	base, served   []*feed.Table // by partition
+	base           []*feed.Table // by partition, as the control replicas have them
+	served         []*feed.Table // by partition, as the proxy is to have them
 	drainedRunners drainedRunners
 	overlays       []overlay // by partition
 }
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -12,12 +12,14 @@
 
 // store holds the agent's tables, shared by its goroutines. Its methods are safe for concurrent use.
 type store struct {
-	now                          func() time.Duration
-	baseNotifier, servedNotifier *feedserver.Notifier
-	mutex                        sync.Mutex
-	tables                       *overlay.Tables
-	lastUpToDate                 []lastUpToDate  // by partition
-	proxyPositions               []feed.Position // positions in the served tables that the proxy last reported
+	now            func() time.Duration
+	baseNotifier   *feedserver.Notifier // wakes followers of baseSources
+	servedNotifier *feedserver.Notifier // wakes followers of servedSources
+
+	mutex          sync.Mutex
+	tables         *overlay.Tables
+	lastUpToDate   []lastUpToDate  // by partition
+	proxyPositions []feed.Position // positions in the served tables that the proxy last reported
 }
 
 // lastUpToDate is when a control replica was last known to be up to date with a partition.
@@ -44,8 +46,7 @@
 		baseNotifier:   feedserver.NewNotifier(now, after),
 		servedNotifier: feedserver.NewNotifier(now, after),
 		tables:         overlay.New(partitions),
-
-		lastUpToDate: make([]lastUpToDate, 1+partitions),
+		lastUpToDate:   make([]lastUpToDate, 1+partitions),
 	}
 }
 
--- a/internal/system/emulator/deployment.go
+++ b/internal/system/emulator/deployment.go
@@ -30,8 +30,10 @@
 
 // machine is an emulated machine.
 type machine struct {
-	name, class, zone string
-	ip                netip.Addr
+	name  string
+	class string // edgeClass or coreClass
+	zone  string
+	ip    netip.Addr
 }
 
 func (m *machine) addressWithPort(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -113,7 +113,8 @@
 
 // startAll starts the fakes and the programs.
 func (e *emulation) startAll(programs map[program]string) (err error) {
-	if e.deployment, err = planDeployment(e.options.Scenario, e.options.EdgeMachines, e.options.WorkDir); err != nil {
+	e.deployment, err = planDeployment(e.options.Scenario, e.options.EdgeMachines, e.options.WorkDir)
+	if err != nil {
 		return err
 	}
 	e.platform, err = fakeplatform.Start(fakeplatform.Options{
@@ -126,7 +127,8 @@
 		return err
 	}
 	e.deployment.platformAddress = e.platform.Address()
-	if e.runners, err = startFleet(e.options.Scenario, e.deployment.zones, e.platform, e.checker); err != nil {
+	e.runners, err = startFleet(e.options.Scenario, e.deployment.zones, e.platform, e.checker)
+	if err != nil {
 		return err
 	}
 	for _, m := range e.deployment.machines {
@@ -168,15 +170,14 @@
 	defer cancel()
 	began := time.Now()
 	for _, m := range e.deployment.machinesOfClass(edgeClass) {
-		if err := poll(ctx, func() bool {
-			return isReady(ctx,
-				m.addressWithPort(e.deployment.ports.ready).String())
-		}); err != nil {
+		address := m.addressWithPort(e.deployment.ports.ready).String()
+		if err := poll(ctx, func() bool { return isReady(ctx, address) }); err != nil {
 			return fmt.Errorf("%s is not ready after %v: %w", m.name, time.Since(began).Round(time.Second), err)
 		}
 	}
-	e.logEvent("edges ready", "machines", len(e.deployment.machinesOfClass(edgeClass)), "after",
-		time.Since(began).Round(time.Millisecond))
+	e.logEvent("edges ready",
+		"machines", len(e.deployment.machinesOfClass(edgeClass)),
+		"after", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
--- a/internal/system/emulator/faults.go
+++ b/internal/system/emulator/faults.go
@@ -7,6 +7,7 @@
 	"syscall"
 	"time"
 
+	"cinderroad/internal/system/retry"
 	"cinderroad/internal/testkit/checker"
 	"cinderroad/internal/testkit/client"
 	"cinderroad/internal/testkit/runner"
@@ -32,10 +33,19 @@
 
 // Faults returns all faults.
 func Faults() []Fault {
-	return []Fault{DrainRunner, DrainAtShortNotice, CrashRunner, SilenceRunner, ChangeConfiguration, EvacuateZone,
+	return []Fault{
+		DrainRunner,
+		DrainAtShortNotice,
+		CrashRunner,
+		SilenceRunner,
+		ChangeConfiguration,
+		EvacuateZone,
 		KillControl,
-		KillProxy, KillAgent,
-		StopProxy, CorruptResponses}
+		KillProxy,
+		KillAgent,
+		StopProxy,
+		CorruptResponses,
+	}
 }
 
 // ParseFault returns the fault with the name.
@@ -71,11 +81,7 @@
 	e.faults.Add(1)
 	go func() {
 		defer e.faults.Done()
-		timer := time.NewTimer(delay)
-		defer timer.Stop()
-		select {
-		case <-timer.C:
-		case <-ctx.Done():
+		if !retry.Sleep(ctx, delay) {
 			return
 		}
 		e.logEvent("trouble", "kind", fault)
@@ -130,12 +136,7 @@
 	}
 	e.checker.ZoneEvacuated(zone, time.Now())
 	e.logEvent("evacuation acknowledged", "zone", zone)
-	timer := time.NewTimer(evacuationTime)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
+	retry.Sleep(ctx, evacuationTime)
 	e.checker.ZoneRestored(zone)
 	orderCtx, cancel = context.WithTimeout(ctx, milliseconds(defaultTiming.AckWithinMS))
 	defer cancel()
@@ -153,20 +154,14 @@
 	version := e.inForce.Version + versionStep
 	item := routeDocumentOf(&class)
 	began := time.Now()
-	err := operator.changeConfiguration(orderCtx, changeDocument{Version: version,
-		Replace: changedItems{Routes: []routeDocument{item}}},
-		e.inForce.Version)
-	if err != nil {
+	change := changeDocument{Version: version, Replace: changedItems{Routes: []routeDocument{item}}}
+	if err := operator.changeConfiguration(orderCtx, change, e.inForce.Version); err != nil {
 		return err
 	}
 	e.inForce.Version = version
 	e.inForce.Routes = append(e.inForce.Routes, item)
 	e.logEvent("change acknowledged", "version", version, "after", time.Since(began).Round(time.Millisecond))
-	timer := time.NewTimer(milliseconds(defaultTiming.ConfigWithinMS))
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
+	if !retry.Sleep(ctx, milliseconds(defaultTiming.ConfigWithinMS)) {
 		return ctx.Err()
 	}
 	for _, m := range e.deployment.machinesOfClass(edgeClass) {
--- a/internal/system/emulator/fleet.go
+++ b/internal/system/emulator/fleet.go
@@ -70,8 +70,8 @@
 }
 
 // startRunner starts a runner, which is in slow start for the given time.
-func (f *runnerFleet) startRunner(service *policysim.Service, zone string, slowStart time.Duration) (*runner.Runner,
-	error) {
+func (f *runnerFleet) startRunner(service *policysim.Service, zone string,
+	slowStart time.Duration) (*runner.Runner, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -220,10 +220,11 @@
 // startReplacement starts another incarnation in place of a runner that has ended.
 func (f *runnerFleet) startReplacement(r *runner.Runner) {
 	f.mu.Lock()
-	s, zone := f.services[r.ID()], f.entries[r.ID()].Zone
+	service := f.services[r.ID()]
+	zone := f.entries[r.ID()].Zone
 	f.mu.Unlock()
-	_, _ = f.startRunner(s, zone,
-		s.SlowStartDuration) // a runner that does not start is missing, which the system has to bear
+	// A runner that does not start is missing, which the system has to bear.
+	_, _ = f.startRunner(service, zone, service.SlowStartDuration)
 }
 
 // removeRunning removes a runner from the running ones.
@@ -249,6 +250,7 @@
 		stats = append(stats, r.Stats())
 		r.Close()
 	}
-	f.running, f.stoppedStats = nil, nil
+	f.running = nil
+	f.stoppedStats = nil
 	return stats
 }
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -8,6 +8,8 @@
 	"io"
 	"net/http"
 	"time"
+
+	"cinderroad/internal/system/retry"
 )
 
 // Paths and headers of the control API, and bounds of calls.
@@ -58,11 +60,7 @@
 			return nil, &rejectedError{Path: path, Status: status, Text: string(text)}
 		}
 		o.attempts++
-		timer := time.NewTimer(wait)
-		select {
-		case <-timer.C:
-		case <-ctx.Done():
-			timer.Stop()
+		if !retry.Sleep(ctx, wait) {
 			return nil, fmt.Errorf("operator: %s got no clear answer: last status %d, %w", path, status, ctx.Err())
 		}
 		wait = min(2*wait, maxBackoff)
@@ -72,15 +70,19 @@
 // isFinal reports whether an error status ends an order: sent again it would be rejected again.
 func isFinal(status int) bool {
 	switch status {
-	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
+	case http.StatusBadRequest,
+		http.StatusConflict,
+		http.StatusPreconditionFailed,
+		http.StatusRequestEntityTooLarge,
 		http.StatusUnprocessableEntity:
 		return true
 	}
 	return false
 }
 
-func (o *operator) sendOnce(ctx context.Context, method, path string, base int, body []byte) (text []byte, status int,
-	err error) {
+// sendOnce sends an order to one control machine; any status is no error.
+func (o *operator) sendOnce(ctx context.Context, method, path string, base int,
+	body []byte) (text []byte, status int, err error) {
 	url := "http://" + o.addresses[o.attempts%len(o.addresses)] + path
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -25,9 +25,11 @@
 
 // ProcessReport is the result of a process.
 type ProcessReport struct {
-	Machine, Program       string
-	PeakMB                 float64 // resident memory, over all incarnations
-	Starts, UnexpectedEnds int
+	Machine        string
+	Program        string
+	PeakMB         float64 // resident memory, over all incarnations
+	Starts         int
+	UnexpectedEnds int
 }
 
 // Failed reports whether a rule was broken or a process ended unexpectedly.
@@ -84,10 +86,10 @@
 	fmt.Fprintln(table, "route\tcalls\tin time\tlate\trefused\tfailed\tdenied\tfirst p50\tp95\tp99\t")
 	for i := range r.Clients.Routes {
 		tally := &r.Clients.Routes[i]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n", tally.Name, tally.Calls, tally.InTime,
-			tally.Late, tally.Rejected,
-			tally.Failed, tally.ClientErrors,
-			tally.LatencyQuantile(0.5).Round(time.Millisecond), tally.LatencyQuantile(0.95).Round(time.Millisecond),
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n",
+			tally.Name, tally.Calls, tally.InTime, tally.Late, tally.Rejected, tally.Failed, tally.ClientErrors,
+			tally.LatencyQuantile(0.5).Round(time.Millisecond),
+			tally.LatencyQuantile(0.95).Round(time.Millisecond),
 			tally.LatencyQuantile(0.99).Round(time.Millisecond))
 	}
 	fmt.Fprintln(table, "\t\t\t\t\t\t\t\t\t\t")
--- a/internal/system/emulator/traffic.go
+++ b/internal/system/emulator/traffic.go
@@ -26,8 +26,8 @@
 		Seed:         e.options.Seed,
 	})
 	for i, fault := range e.options.Faults {
-		e.scheduleFault(ctx, fault,
-			e.options.Scenario.Duration*time.Duration(i+1)/time.Duration(len(e.options.Faults)+1))
+		delay := e.options.Scenario.Duration * time.Duration(i+1) / time.Duration(len(e.options.Faults)+1)
+		e.scheduleFault(ctx, fault, delay)
 	}
 	ended := make(chan struct{})
 	go e.reportProgress(ended)
@@ -53,8 +53,7 @@
 		Name:        c.Name,
 		Services:    []string{c.Service},
 		HomeRegions: c.HomeRegions,
-		Idempotent: r.ReadOnly ||
-			r.Stream && r.Resumable,
+		Idempotent:  r.ReadOnly || r.Stream && r.Resumable,
 	}
 	return r
 }
@@ -106,8 +105,14 @@
 			refused += r.Rejected
 			failed += r.Failed
 		}
-		e.logEvent("serving", "at", time.Since(began).Round(progressPrecision), "calls", tally.Calls, "in_time", inTime,
+		e.logEvent("serving",
+			"at", time.Since(began).Round(progressPrecision),
+			"calls", tally.Calls,
+			"in_time", inTime,
 			"late", tally.Served-inTime,
-			"refused", refused, "failed", failed, "retries", tally.Retries, "breaches", len(e.checker.Violations()))
+			"refused", refused,
+			"failed", failed,
+			"retries", tally.Retries,
+			"breaches", len(e.checker.Violations()))
 	}
 }
--- a/internal/system/gossip/addresses.go
+++ b/internal/system/gossip/addresses.go
@@ -13,7 +13,8 @@
 // members, so that they spread.
 func (l *Memberlist) ControlAddresses() []netip.AddrPort {
 	l.mutex.Lock()
-	port, seeds := l.options.ControlPort, l.options.Seeds
+	port := l.options.ControlPort
+	seeds := l.options.Seeds
 	l.mutex.Unlock()
 	candidates := l.candidates(Control)
 	for _, seed := range seeds {
--- a/internal/system/gossip/memberlist.go
+++ b/internal/system/gossip/memberlist.go
@@ -214,14 +214,13 @@
 	l.node.TakeConvergenceTimes()
 }
 
+// send sends a message of the node. An error counts as a loss on the network: the node sends again.
 func (l *Memberlist) send(packet membership.Packet) {
 	datagram, err := membership.Encode(packet.Message)
-	if err == nil {
-		_, err = l.conn.WriteToUDPAddrPort(datagram, packet.To)
-	}
-	if err != nil { // as if lost on the network: the node sends again
+	if err != nil {
 		return
 	}
+	_, _ = l.conn.WriteToUDPAddrPort(datagram, packet.To)
 }
 
 // logChange logs changes of control members at info level on control members. Edges come and go, and every member
@@ -235,8 +234,12 @@
 	if l.options.Role == Control && roleOf(change.Name) == Control {
 		level = zap.InfoLevel
 	}
-	l.log.Log(level, "member changed", zap.String("member", change.Name), zap.Stringer("was", change.From),
-		zap.Stringer("is", change.To), zap.String("cause", change.Cause))
+	l.log.Log(level, "member changed",
+		zap.String("member", change.Name),
+		zap.Stringer("was", change.From),
+		zap.Stringer("is", change.To),
+		zap.String("cause", change.Cause),
+	)
 }
 
 // SetSeeds replaces the seeds. Known members stay known.
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -59,8 +59,10 @@
 
 // regionOwners are the owner of a prefix in a region and the secondary owner, which takes over when the first is full.
 type regionOwners struct {
-	first, second           *runnerState
-	firstScore, secondScore uint64 // rendezvous scores of the two
+	first       *runnerState
+	second      *runnerState
+	firstScore  uint64 // rendezvous score of first
+	secondScore uint64 // rendezvous score of second
 }
 
 // ownersOf draws the owners of a request's prefix among the serving runners that are not in slow start. It uses only what
@@ -157,8 +159,9 @@
 
 // prefixRecord is one send.
 type prefixRecord struct {
-	prefix, runner uint64
-	sentAt         time.Duration
+	prefix uint64 // its hash
+	runner uint64 // runnerState.key, or anyRunner
+	sentAt time.Duration
 }
 
 // find returns the record of a prefix and a runner, or the one that it would replace.
--- a/internal/system/policysim/counters.go
+++ b/internal/system/policysim/counters.go
@@ -4,11 +4,14 @@
 
 // counters are counted during a run; tokens are those of prompts.
 type counters struct {
-	retries, crossRegion                                int
-	attempts                                            int
-	rejections                                          map[string]int  // by reason
-	prefilledChunks                                     map[uint64]bool // shared chunks that some runner has prefilled, by id
-	sharedPrefilled, sharedPrefilledAgain, ownPrefilled int64
+	retries              int
+	crossRegion          int // attempts at runners in another region than the proxy's
+	attempts             int
+	rejections           map[string]int  // by reason
+	prefilledChunks      map[uint64]bool // shared chunks that some runner has prefilled, by id
+	sharedPrefilled      int64
+	sharedPrefilledAgain int64 // of chunks that some runner had prefilled before
+	ownPrefilled         int64
 }
 
 func newCounters() counters {
--- a/internal/system/policysim/result.go
+++ b/internal/system/policysim/result.go
@@ -21,12 +21,28 @@
 
 // ClassResult is the result of the calls of a class.
 type ClassResult struct {
-	Name                                        string
-	Calls, InTime, Late, Rejected, Failed       int
-	ValueEarned, ValueDue                       float64 // Due: the value if all calls were in time
-	FirstEventP50, FirstEventP95, FirstEventP99 time.Duration
-	ServedShare, LargestServed, LargeServed     float64 // of all calls, of the largest tenth, and of the fifth below it
-	LargestInTime, LargeInTime, InTimeShare     float64
+	Name     string
+	Calls    int
+	InTime   int
+	Late     int
+	Rejected int
+	Failed   int
+
+	ValueEarned float64
+	ValueDue    float64 // the value if all calls were in time
+
+	// Quantiles of the time to the first event.
+	FirstEventP50 time.Duration
+	FirstEventP95 time.Duration
+	FirstEventP99 time.Duration
+
+	// Shares of calls that were served, and served in time: of all calls, of the largest tenth, and of the fifth below it.
+	ServedShare   float64
+	LargestServed float64
+	LargeServed   float64
+	LargestInTime float64
+	LargeInTime   float64
+	InTimeShare   float64
 }
 
 // Result is the result of a run.
@@ -53,6 +69,7 @@
 	ValueShareDeviation float64 // standard deviation of ValueShare over the runs
 }
 
+// result returns the result of a run that has ended.
 func (sim *simulation) result(policy string) *Result {
 	result := &Result{
 		Policy:               policy,
@@ -97,6 +114,7 @@
 	return call.Class.ValueInTime * factor, call.Class.ValueLate * factor
 }
 
+// classResult returns the result of a class, and adds the value that each of its calls earned and could have earned.
 func (sim *simulation) classResult(class *Class, earnedValues, dueValues map[*callState]float64) ClassResult {
 	result := ClassResult{Name: class.Name}
 	var states []*callState
@@ -144,12 +162,14 @@
 func (r *ClassResult) addSizeBreakdown(states []*callState) {
 	states = slices.Clone(states)
 	slices.SortStableFunc(states, func(a, b *callState) int { return cmp.Compare(b.call.Cost(), a.call.Cost()) })
-	tenth, threeTenths := len(states)/10, len(states)*3/10
+	tenth := len(states) / 10
+	threeTenths := len(states) * 3 / 10
 	r.ServedShare, r.InTimeShare = servedShares(states)
 	r.LargestServed, r.LargestInTime = servedShares(states[:tenth])
 	r.LargeServed, r.LargeInTime = servedShares(states[tenth:threeTenths])
 }
 
+// servedShares returns the shares of calls that were served, and served in time.
 func servedShares(states []*callState) (served, inTime float64) {
 	for _, state := range states {
 		switch state.outcome {
@@ -191,13 +211,15 @@
 	return share, at
 }
 
-func ratio(a, b float64) float64 {
-	if b == 0 {
+// ratio returns a share of a whole, 0 if the whole is 0.
+func ratio(part, whole float64) float64 {
+	if whole == 0 {
 		return 0
 	}
-	return a / b
+	return part / whole
 }
 
+// quantile returns a quantile of values, which it sorts; 0 if there are none.
 func quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/internal/system/policysim/scenario.go
+++ b/internal/system/policysim/scenario.go
@@ -17,14 +17,19 @@
 	Bursts   []Burst
 	Crashes  []Crash
 
-	ZoneLatency, CrossZoneLatency, CrossRegionLatency time.Duration // one way, between runners and proxies
-	ClientLatency                                     time.Duration // one way, from a client to a proxy
-	DiscoveryLag                                      time.Duration // age of the proxies' list of runners
+	// Latencies between runners and proxies, one way.
+	ZoneLatency        time.Duration // within a zone
+	CrossZoneLatency   time.Duration // between zones of a region
+	CrossRegionLatency time.Duration
+
+	ClientLatency time.Duration // one way, from a client to a proxy
+	DiscoveryLag  time.Duration // age of the proxies' list of runners
 }
 
 // Zone is a zone with its proxies and clients.
 type Zone struct {
-	Name, Region  string
+	Name          string
+	Region        string
 	Proxies       int
 	TrafficShare  float64 // of the traffic
 	RateVariation RateVariation
@@ -44,18 +49,20 @@
 
 // Burst multiplies the rate of a class for a while.
 type Burst struct {
-	Class           string
-	Factor          float64
-	Start, Duration time.Duration
+	Class    string
+	Factor   float64
+	Start    time.Duration
+	Duration time.Duration
 }
 
 // Crash ends a runner abruptly. After Downtime it returns as a new incarnation with an empty cache; the list of runners
 // drops it after Scenario.DiscoveryLag.
 type Crash struct {
-	Service      string
-	RunnerIndex  int // among the running ones of the service, in order of zones
-	At, Downtime time.Duration
-	Silent       bool // its connections stay open without a response, instead of being closed
+	Service     string
+	RunnerIndex int // among the running ones of the service, in order of zones
+	At          time.Duration
+	Downtime    time.Duration
+	Silent      bool // its connections stay open without a response, instead of being closed
 }
 
 func (s *Scenario) serviceByName(name string) *Service {
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -85,8 +85,25 @@
 	}
 }
 
+// build starts the runners and proxies of the scenario.
 func (sim *simulation) build(factory PolicyFactory, seed uint64) error {
 	sim.buildConfiguration()
+	if err := sim.startRunners(); err != nil {
+		return err
+	}
+	if err := sim.startProxies(factory, seed); err != nil {
+		return err
+	}
+	for _, p := range sim.proxies {
+		p.policy.SetServices(0, sim.services)
+		p.policy.SetProxyCount(0, len(sim.proxies))
+		sim.tickPolicy(p)
+	}
+	sim.publishRunners()
+	return nil
+}
+
+func (sim *simulation) startRunners() error {
 	for i := range sim.scenario.Services {
 		service := &sim.scenario.Services[i]
 		for _, zone := range sim.scenario.Zones {
@@ -97,6 +114,11 @@
 			}
 		}
 	}
+	return nil
+}
+
+// startProxies makes the policy of each proxy, with seeds that follow each other by seedStep.
+func (sim *simulation) startProxies(factory PolicyFactory, seed uint64) error {
 	zones := make(map[string]string)
 	for _, zone := range sim.scenario.Zones {
 		zones[zone.Name] = zone.Region
@@ -120,56 +142,58 @@
 			sim.proxies = append(sim.proxies, &proxy{zone: zone.Name, policy: policy})
 		}
 	}
-	for _, p := range sim.proxies {
-		p.policy.SetServices(0, sim.services)
-		p.policy.SetProxyCount(0, len(sim.proxies))
-		sim.tickPolicy(p)
-	}
-	sim.publishRunners()
 	return nil
 }
 
+// buildConfiguration makes a route for each class and the services.
 func (sim *simulation) buildConfiguration() {
 	sim.routes = make(map[string]*configuration.Route)
 	for i := range sim.scenario.Classes {
-		c := &sim.scenario.Classes[i]
-		sim.routes[c.Name] = &configuration.Route{
-			Name:           c.Name,
-			Host:           "screening.example",
-			PathPrefix:     "/" + c.Name + "/",
-			Type:           c.Type,
-			Rank:           c.Rank,
-			Timeout:        c.Deadline,
-			LatencyTarget:  c.LatencyTarget,
-			EventGapTarget: c.EventGapTarget,
-			Shares:         []configuration.Share{{Service: c.Service, Weight: 1}},
-			MaxAttempts:    c.MaxAttempts,
-			Resumable:      c.Resumable,
-			PrefixAffinity: c.Type == configuration.Streaming,
-			HomeRegions:    c.HomeRegions,
-		}
+		class := &sim.scenario.Classes[i]
+		sim.routes[class.Name] = routeOf(class)
 	}
 	for i := range sim.scenario.Services {
-		s := &sim.scenario.Services[i]
-		service := &configuration.Service{
-			Name:              s.Name,
-			HealthPath:        "/health",
-			MaxConnections:    s.MaxConnections,
-			SlowStartDuration: s.SlowStartDuration,
-			SlowStartRate:     s.SlowStartRate,
-		}
-		if s.Engine != nil {
-			service.Backend = &configuration.Backend{
-				Capacity:           s.Engine.MaxRunning,
-				CacheTokens:        s.Engine.MemoryTokens,
-				CacheBytesPerToken: cacheBytesPerToken,
-				LinkMbps:           linkMbps,
-				TokensPerEvent:     s.Engine.EventTokens,
-				Models:             []string{modelName},
-			}
+		sim.services = append(sim.services, serviceOf(&sim.scenario.Services[i]))
+	}
+}
+
+func routeOf(class *Class) *configuration.Route {
+	return &configuration.Route{
+		Name:           class.Name,
+		Host:           "screening.example",
+		PathPrefix:     "/" + class.Name + "/",
+		Type:           class.Type,
+		Rank:           class.Rank,
+		Timeout:        class.Deadline,
+		LatencyTarget:  class.LatencyTarget,
+		EventGapTarget: class.EventGapTarget,
+		Shares:         []configuration.Share{{Service: class.Service, Weight: 1}},
+		MaxAttempts:    class.MaxAttempts,
+		Resumable:      class.Resumable,
+		PrefixAffinity: class.Type == configuration.Streaming,
+		HomeRegions:    class.HomeRegions,
+	}
+}
+
+func serviceOf(described *Service) *configuration.Service {
+	service := &configuration.Service{
+		Name:              described.Name,
+		HealthPath:        "/health",
+		MaxConnections:    described.MaxConnections,
+		SlowStartDuration: described.SlowStartDuration,
+		SlowStartRate:     described.SlowStartRate,
+	}
+	if described.Engine != nil {
+		service.Backend = &configuration.Backend{
+			Capacity:           described.Engine.MaxRunning,
+			CacheTokens:        described.Engine.MemoryTokens,
+			CacheBytesPerToken: cacheBytesPerToken,
+			LinkMbps:           linkMbps,
+			TokensPerEvent:     described.Engine.EventTokens,
+			Models:             []string{modelName},
 		}
-		sim.services = append(sim.services, service)
 	}
+	return service
 }
 
 func (sim *simulation) tickPolicy(p *proxy) {
@@ -190,6 +214,12 @@
 	}
 }
 
+// runnerAddress returns the address of an incarnation, which no other one has.
+func runnerAddress(incarnation int) netip.AddrPort {
+	const port = 8080
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(incarnation >> 8), byte(incarnation)}), port)
+}
+
 // startRunner starts a new incarnation of a runner.
 func (sim *simulation) startRunner(service *Service, zone string) (*simulatedRunner, error) {
 	sim.incarnations++
@@ -207,11 +237,10 @@
 		CrashMultiple: slowStartFailureFactor,
 	}
 	runner.info = placement.Runner{
-		ID:      fmt.Sprintf("i-%04x", sim.incarnations),
-		Service: service.Name,
-		Zone:    zone,
-		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(sim.incarnations >> 8),
-			byte(sim.incarnations)}), 8080),
+		ID:       fmt.Sprintf("i-%04x", sim.incarnations),
+		Service:  service.Name,
+		Zone:     zone,
+		Address:  runnerAddress(sim.incarnations),
 		Region:   sim.scenario.regionOf(zone),
 		Capacity: service.Slots,
 	}
--- a/internal/system/proxy/exchange_end.go
+++ b/internal/system/proxy/exchange_end.go
@@ -34,17 +34,26 @@
 		x.session.rejectIncomplete()
 	case x.response.started:
 		x.deadlineTimer = x.proxy.runAt(x.proxy.now()+deadlineGrace, x.abort)
-	case x.request.MayHaveRun || x.attempt != nil && x.attempt.connected: // the runner may have started with a part of the request
+	case x.mayHaveStarted():
 		x.cancelAttempt(x.deadlineOutcome())
 		x.proxy.Counters.Failed++
 		x.respond(localResponse{status: http.StatusGatewayTimeout, body: "no answer in time"})
 	default:
 		x.cancelAttempt(placement.Cancelled)
 		x.proxy.Counters.Rejected++
-		x.respond(localResponse{status: http.StatusServiceUnavailable, retryAfter: shortRetryAfter, body: "no runner reached in time"})
+		x.respond(localResponse{
+			status:     http.StatusServiceUnavailable,
+			retryAfter: shortRetryAfter,
+			body:       "no runner reached in time",
+		})
 	}
 }
 
+// mayHaveStarted reports whether a runner may have executed the request, or started with the part that it received.
+func (x *exchange) mayHaveStarted() bool {
+	return x.request.MayHaveRun || x.attempt != nil && x.attempt.connected
+}
+
 // endForShutdown ends a request whose response has not begun because the process exits.
 func (x *exchange) endForShutdown() {
 	if x.state == exchangeReceiving {
@@ -52,9 +61,7 @@
 		x.session.rejectWith(http.StatusServiceUnavailable, "the proxy ends")
 		return
 	}
-	if x.attempt != nil && x.attempt.connected { // the runner may have started with a part of the request
-		x.request.MayHaveRun = true
-	}
+	x.request.MayHaveRun = x.mayHaveStarted()
 	x.cancelAttempt(placement.Cancelled)
 	x.giveUp(shortRetryAfter)
 }
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -46,14 +46,25 @@
 
 // Counters count events since the start of the process.
 type Counters struct {
-	Requests, Served, Rejected, Failed, Aborted uint64 // Aborted: responses cut off and clients that disconnected
-	Attempts, Resumed, Dials                    uint64 // Resumed: streams continued at another runner
-	InvalidResponses                            uint64 // runner connections closed for bytes that belong to no request
-	NoticesSent, NoticesReceived                uint64
-	NoticesSuppressed                           uint64 // beyond the bandwidth budget
-	ShutdownOnNewConns, ShutdownOnReusedConns   uint64 // requests after the shutdown signal, by connection
-	ShutdownRejected                            uint64 // requests rejected because they might outlast the process
-	ShutdownCut                                 uint64 // requests cut off by the end of the process
+	Requests uint64 // request heads read
+	Served   uint64 // requests whose response was forwarded completely
+	Rejected uint64 // admitted requests that no runner executed
+	Failed   uint64 // requests that a runner may have executed, answered with an error of the proxy
+	Aborted  uint64 // responses cut off and clients that disconnected
+
+	Attempts         uint64 // requests sent to runners, retries included
+	Resumed          uint64 // streams continued at another runner
+	Dials            uint64 // connections opened to runners
+	InvalidResponses uint64 // runner connections closed for bytes that belong to no request
+
+	NoticesSent       uint64
+	NoticesReceived   uint64
+	NoticesSuppressed uint64 // beyond the bandwidth budget
+
+	ShutdownOnNewConns    uint64 // first requests of connections whose head was read after the shutdown signal
+	ShutdownOnReusedConns uint64 // later requests of connections whose head was read after the shutdown signal
+	ShutdownRejected      uint64 // requests rejected because they might outlast the process
+	ShutdownCut           uint64 // requests cut off by the end of the process
 }
 
 // Proxy is the data plane of one process. Except for its construction, only the loop's goroutine may use it.
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -30,7 +30,8 @@
 
 // simulatedRequest is a request of a client with its executions and its response.
 type simulatedRequest struct {
-	id, target  string
+	id          string
+	target      string
 	method      string
 	version     string
 	kind        string // name of its route
