--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -1,17 +1,15 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"time"
 
 	"cinderroad/internal/system/emulator"
 	"cinderroad/internal/system/policysim"
+	"cinderroad/internal/system/startup"
 )
 
 // dayCommand runs the real programs under traffic and faults: see package emulator.
@@ -35,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := startup.StopContext()
 	defer stop()
 	report, err := emulator.Run(ctx, options)
 	if err != nil {
--- a/internal/system/agent/agent_test.go
+++ b/internal/system/agent/agent_test.go
@@ -63,9 +63,9 @@
 	putRunner(replicas, 1, runner("one"))
 	cluster.platform.set(runner("one"), runner("two"))
 	edge := cluster.newEdge("edge-1")
-	edge.waitFor("the proxy has its runner", func() bool { _, known := edge.runner("one"); return known })
+	edge.waitFor("the proxy has its runner", func() bool { return edge.knows("one") })
 	replicas[0].setAge(time.Minute)
-	edge.waitFor("the proxy has what the platform lists", func() bool { _, known := edge.runner("two"); return known })
+	edge.waitFor("the proxy has what the platform lists", func() bool { return edge.knows("two") })
 	edge.kill()
 	cluster.platform.set(runner("one"), runner("three"))
 	edge.startAgent()
@@ -101,7 +101,7 @@
 	putRunner(replicas, 1, runner("two"))
 	cluster.platform.set(func() discovery.Runner { r := runner("one"); r.Draining = true; return r }(), runner("three"))
 	edge := cluster.newEdge("edge-1")
-	edge.waitFor("the proxy has its runners", func() bool { _, known := edge.runner("two"); return known })
+	edge.waitFor("the proxy has its runners", func() bool { return edge.knows("two") })
 	for _, r := range replicas {
 		r.setAge(time.Minute)
 	}
@@ -158,7 +158,7 @@
 	putRunner(replicas, 1, here)
 	putRunner(replicas, 1, there)
 	edge := cluster.newEdge("edge-1")
-	edge.waitFor("the proxy has its runners", func() bool { _, known := edge.runner("there"); return known })
+	edge.waitFor("the proxy has its runners", func() bool { return edge.knows("there") })
 	for _, r := range replicas {
 		r.setPartitionAge(2, time.Minute)
 	}
@@ -197,13 +197,13 @@
 	configure(replicas, 1, "1")
 	putRunner(replicas, 1, runner("one"))
 	edge := cluster.newEdge("edge-1")
-	edge.waitFor("the proxy has its runner", func() bool { _, known := edge.runner("one"); return known })
+	edge.waitFor("the proxy has its runner", func() bool { return edge.knows("one") })
 	for _, r := range replicas {
 		r.setPartitionAge(feed.ConfigurationPartition, time.Minute)
 	}
 	for i := range 20 {
 		putRunner(replicas, uint64(2+i), runner(fmt.Sprint("new-", i)))
-		edge.waitFor("the proxy has the next runner", func() bool { _, known := edge.runner(fmt.Sprint("new-", i)); return known })
+		edge.waitFor("the proxy has the next runner", func() bool { return edge.knows(fmt.Sprint("new-", i)) })
 	}
 	if n := cluster.platform.callCount(); n != 0 {
 		t.Errorf("the platform was asked %d times although the runners are up to date", n)
--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -335,6 +335,13 @@
 	return string(value)
 }
 
+// knows reports whether the proxy has a runner.
+func (e *edgeMachine) knows(id string) bool {
+	_, known := e.runner(id)
+	return known
+}
+
+// runner returns a runner as the proxy has it, and whether it does.
 func (e *edgeMachine) runner(id string) (discovery.Runner, bool) {
 	for _, table := range e.tables {
 		if value, known := table.Get(feed.KeyPrefixRunner + id); known {
--- a/internal/system/emulator/settings_test.go
+++ b/internal/system/emulator/settings_test.go
@@ -24,12 +24,14 @@
 			if err != nil {
 				t.Fatalf("%s on %s: %v", p, m.name, err)
 			}
-			if s.Node != m.name || s.IP != m.ip || s.Zone != m.zone || len(s.SeedNodes) != coreMachineCount || !s.FirstBoot ||
-				s.Timing.ConfigWithin != 2500*time.Millisecond || s.CloudAPI.Address != d.platformAddress {
+			isMachine := s.Node == m.name && s.IP == m.ip && s.Zone == m.zone
+			isSystem := len(s.SeedNodes) == coreMachineCount && s.CloudAPI.Address == d.platformAddress
+			if !isMachine || !isSystem || !s.FirstBoot || s.Timing.ConfigWithin != 2500*time.Millisecond {
 				t.Errorf("%s on %s reads %+v", p, m.name, s)
 			}
-			if (s.StateDir != "") != (p == control) || s.ListenOn.Front.IsValid() != (p == proxy) ||
-				s.ListenOn.Control.IsValid() != (p == control) {
+			servesClients := s.ListenOn.Front.IsValid()
+			servesOperators := s.ListenOn.Control.IsValid()
+			if (s.StateDir != "") != (p == control) || servesClients != (p == proxy) || servesOperators != (p == control) {
 				t.Errorf("%s on %s has the disk %q and listens on %+v", p, m.name, s.StateDir, s.ListenOn)
 			}
 		}
--- a/internal/system/exposition/exposition_test.go
+++ b/internal/system/exposition/exposition_test.go
@@ -32,8 +32,8 @@
 		return answer
 	}
 	get(http.MethodGet, Path)
-	if got := get(http.MethodGet, Path); got.Body.String() != "# HELP pages_total Pages.\n# TYPE pages_total counter\npages_total 2\n" ||
-		got.Header().Get("Content-Type") != ContentType {
+	const page = "# HELP pages_total Pages.\n# TYPE pages_total counter\npages_total 2\n"
+	if got := get(http.MethodGet, Path); got.Body.String() != page || got.Header().Get("Content-Type") != ContentType {
 		t.Errorf("got %v %q", got.Header(), got.Body)
 	}
 	if got := get(http.MethodGet, "/other"); got.Code != http.StatusNotFound {
--- a/internal/system/placement/compatibility_test.go
+++ b/internal/system/placement/compatibility_test.go
@@ -20,8 +20,8 @@
 	if d := cmp.Diff(map[string]float64{"api": 0, "llm": 38700}, speeds); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff(runnerSnapshot{slots: 64, limits: capacity.Limits{Load: 40, Utilization: float64(float32(0.9))}}, runners["llm-1"],
-		cmp.AllowUnexported(runnerSnapshot{})); d != "" {
+	want := runnerSnapshot{slots: 64, limits: capacity.Limits{Load: 40, Utilization: float64(float32(0.9))}}
+	if d := cmp.Diff(want, runners["llm-1"], cmp.AllowUnexported(runnerSnapshot{})); d != "" {
 		t.Error(d)
 	}
 	if len(runners) != 7 || runners["api-2"].limits.Load != 3.5 {
--- a/internal/system/placement/notices_test.go
+++ b/internal/system/placement/notices_test.go
@@ -184,10 +184,12 @@
 	if !runners(now) {
 		t.Error("with few notices a prompt of two slots is not announced")
 	}
-	if now = hear(now, 3, maxNoticeRate*2); runners(now) {
+	now = hear(now, 3, maxNoticeRate*2)
+	if runners(now) {
 		t.Error("with twice as many as should come a prompt of two slots is announced")
 	}
-	if now = hear(now, 30, maxNoticeRate*0.9); !runners(now) {
+	now = hear(now, 30, maxNoticeRate*0.9)
+	if !runners(now) {
 		t.Error("with few notices again a prompt of two slots is not announced")
 	}
 }
--- a/internal/system/placement/shared_budgets_test.go
+++ b/internal/system/placement/shared_budgets_test.go
@@ -308,7 +308,8 @@
 			t.Fatal(rejection)
 		}
 		placer.EndAttempt(now, placer.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
-		if r.TriedRunners = []string{c.Runner}; i%10 == 0 && placer.MayRetry(now, r) {
+		r.TriedRunners = []string{c.Runner}
+		if i%10 == 0 && placer.MayRetry(now, r) {
 			placer.EndAttempt(now, placer.StartAttempt(now, r, c), Succeeded, Progress{Duration: time.Millisecond})
 			allowed++
 		}
--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -288,7 +288,8 @@
 		}
 		prefix = prefix*0x9e3779b97f4a7c15 ^ part.ID
 		sim.sharedTokens += part.Tokens
-		if whole = whole && e.touch(prefix); whole {
+		whole = whole && e.touch(prefix)
+		if whole {
 			continue
 		}
 		tokens += part.Tokens
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -135,18 +135,20 @@
 	agent := newFakeAgent(t)
 	address, stop := agent.serve("127.0.0.1:0")
 	_, updates, _ := startClient(t, address)
-	if request := receive(t, agent.requests); len(request.Positions) != 3 || request.Positions[0].Index != 0 || request.Node != "n" {
+	request := receive(t, agent.requests)
+	if len(request.Positions) != 3 || request.Positions[0].Index != 0 || request.Node != "n" {
 		t.Errorf("first request is %+v", request)
 	}
 	agent.replies <- firstReply()
 	checkFirstUpdate(t, receive(t, updates))
-	if request := receive(t, agent.requests); request.Positions[0].Index != 10 || request.Positions[1].Index != 4 || request.Peers != 5 {
+	request = receive(t, agent.requests)
+	if request.Positions[0].Index != 10 || request.Positions[1].Index != 4 || request.Peers != 5 {
 		t.Errorf("next request is %+v", request)
 	}
 	agent.replies <- laterReply()
 	update := receive(t, updates)
-	wantRoutes := len(update.Routes) == 0 && slices.Equal(update.RemovedRoutes, []string{"a"})
-	if update.Version != 8 || !wantRoutes || update.Services != nil || update.Runners != nil || !update.Complete {
+	removesRoute := len(update.Routes) == 0 && slices.Equal(update.RemovedRoutes, []string{"a"})
+	if update.Version != 8 || !removesRoute || update.Services != nil || update.Runners != nil || !update.Complete {
 		t.Errorf("delta arrived as %+v", update)
 	}
 	receive(t, agent.requests)
@@ -214,9 +216,10 @@
 // checkFirstUpdate checks what a proxy is to apply of firstReply.
 func checkFirstUpdate(t *testing.T, update Update) {
 	t.Helper()
-	wantConfiguration := update.Version == 7 && len(update.Routes) == 2 && len(*update.Services) == 1 && (*update.EvacuatedZones)["z9"]
-	wantPeers := update.ProxyCount == 3 && update.Peers != nil && len(*update.Peers) == 1 && (*update.Peers)[0].Node == "p"
-	if !wantConfiguration || update.Complete || !wantPeers {
+	hasRoutes := update.Version == 7 && len(update.Routes) == 2
+	hasServices := len(*update.Services) == 1 && (*update.EvacuatedZones)["z9"]
+	hasPeers := update.ProxyCount == 3 && update.Peers != nil && len(*update.Peers) == 1 && (*update.Peers)[0].Node == "p"
+	if !hasRoutes || !hasServices || !hasPeers || update.Complete {
 		t.Errorf("snapshot arrived as %+v", update)
 	}
 	arrived := (*update.Runners)[0]
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -59,12 +59,10 @@
 	if update.EvacuatedZones != nil {
 		p.SetEvacuated(*update.EvacuatedZones)
 	}
-	switch {
-	case update.Peers != nil:
+	if update.Peers != nil {
 		p.applyPeers(*update.Peers)
-	case update.ProxyCount > 0 && update.ProxyCount != p.control.proxyCount && !p.peers.peersKnown: // a peer list implies the count
-		p.control.proxyCount = update.ProxyCount
-		p.SetProxies(update.ProxyCount)
+	} else {
+		p.applyProxyCount(update.ProxyCount)
 	}
 	if update.Runners != nil {
 		p.applyRunners(*update.Runners)
@@ -82,6 +80,16 @@
 	}
 }
 
+// applyProxyCount sets the number of proxies; 0: not known. It has no effect once a peer list, which implies the number,
+// was received.
+func (p *Proxy) applyProxyCount(count int) {
+	if count <= 0 || count == p.control.proxyCount || p.peers.peersKnown {
+		return
+	}
+	p.control.proxyCount = count
+	p.SetProxies(count)
+}
+
 // markRunnersKnown records that the runners are known as completely as they will be, which the proxy's readiness
 // depends on.
 func (p *Proxy) markRunnersKnown(known bool) {
@@ -124,8 +132,8 @@
 }
 
 // RestoreSnapshot loads what a previous incarnation of the proxy had learned.
-func (p *Proxy) RestoreSnapshot(learnt []byte) {
-	if err := p.placer.Restore(p.now(), learnt); err != nil {
+func (p *Proxy) RestoreSnapshot(snapshot []byte) {
+	if err := p.placer.Restore(p.now(), snapshot); err != nil {
 		p.log.Warn("what the proxy had learnt cannot be read", zap.Error(err))
 	}
 }
@@ -133,20 +141,27 @@
 // reportPeriodically sends the proxy's status to the agent every reportInterval, and every reportsPerSnapshot reports a
 // snapshot if it has changed.
 func (p *Proxy) reportPeriodically() {
-	var learnt []byte
-	if p.control.reportCount++; p.control.reportCount%reportsPerSnapshot == 0 {
-		if learnt = p.placer.Snapshot(); bytes.Equal(learnt, p.control.lastSnapshot) {
-			learnt = nil
-		} else {
-			p.control.lastSnapshot = learnt
-		}
-	}
-	p.reportToAgent(learnt)
+	p.control.reportCount++
+	var snapshot []byte
+	if p.control.reportCount%reportsPerSnapshot == 0 {
+		snapshot = p.changedSnapshot()
+	}
+	p.reportToAgent(snapshot)
 	p.runAt(p.now()+reportInterval, p.reportPeriodically)
 }
 
-// reportToAgent sends the proxy's status with a snapshot of the placer, learnt; an empty one leaves the agent's copy as it is.
-func (p *Proxy) reportToAgent(learnt []byte) {
+// changedSnapshot returns a snapshot of the placer, nil if it is the same as the last one.
+func (p *Proxy) changedSnapshot() []byte {
+	snapshot := p.placer.Snapshot()
+	if bytes.Equal(snapshot, p.control.lastSnapshot) {
+		return nil
+	}
+	p.control.lastSnapshot = snapshot
+	return snapshot
+}
+
+// reportToAgent sends the proxy's status with a snapshot of the placer; an empty one leaves the agent's copy as it is.
+func (p *Proxy) reportToAgent(snapshot []byte) {
 	if p.control.agent == nil {
 		return
 	}
@@ -154,7 +169,7 @@
 		Ready:    p.Ready(),
 		Stopping: p.shutdown.active,
 		Front:    p.options.FrontAddr.String(),
-		Learnt:   learnt,
+		Learnt:   snapshot,
 	}
 	p.control.agent.Report(report)
 }
--- a/internal/system/proxy/service_splitter.go
+++ b/internal/system/proxy/service_splitter.go
@@ -39,7 +39,8 @@
 			continue
 		}
 		service = share.Service
-		if point -= share.Weight; point < 0 {
+		point -= share.Weight
+		if point < 0 {
 			break
 		}
 	}
--- a/internal/system/proxy/session_output.go
+++ b/internal/system/proxy/session_output.go
@@ -98,7 +98,8 @@
 		pending.session = s
 		s.proxy.loop.Defer(pending.flush)
 	}
-	if pending.bytes = append(pending.bytes, b...); len(pending.bytes) > pendingFlushBytes {
+	pending.bytes = append(pending.bytes, b...)
+	if len(pending.bytes) > pendingFlushBytes {
 		s.proxy.flushPending()
 	}
 }
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -97,7 +97,8 @@
 // logCut logs a request that the exit of the process cuts off, with the data that shows why it was accepted.
 func (p *Proxy) logCut(session *session) {
 	x := session.exchange
-	if p.Counters.ShutdownCut++; p.Counters.ShutdownCut > maxCutsLogged {
+	p.Counters.ShutdownCut++
+	if p.Counters.ShutdownCut > maxCutsLogged {
 		return
 	}
 	signalAt := p.shutdown.signalAt
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -162,7 +162,8 @@
 
 // clientDone ends a client, and the simulation with the last one.
 func (sim *simulation) clientDone() {
-	if sim.activeClients--; sim.activeClients > 0 {
+	sim.activeClients--
+	if sim.activeClients > 0 {
 		return
 	}
 	sim.network.after(simulationDrainTime, func() {
--- a/internal/system/retry/retry_test.go
+++ b/internal/system/retry/retry_test.go
@@ -24,7 +24,8 @@
 	errInUse := errors.New("address in use")
 	attempts := 0
 	err := WhileAddressInUse(context.Background(), func() error {
-		if attempts++; attempts < 3 {
+		attempts++
+		if attempts < 3 {
 			return errInUse
 		}
 		return nil
