--- a/internal/dispatcher/exporter/exporter_test.go
+++ b/internal/dispatcher/exporter/exporter_test.go
@@ -448,60 +448,72 @@
 	}
 }
 
+// startOutput starts a fake receiver, and returns the output to it and what it has stored.
+func startOutput(b *testing.B, form string) (Output, *receivers.Store) {
+	b.Helper()
+	switch form {
+	case "network":
+		n, err := receivers.NewCollectdNetwork("127.0.0.1:0", "encrypt", map[string]string{"u": "p"})
+		if err != nil {
+			b.Fatal(err)
+		}
+		b.Cleanup(n.Stop)
+		out := NewCollectdNetwork(CollectdNetworkOptions{
+			Address:  netip.MustParseAddrPort(n.Addr()),
+			Security: SecurityEncrypt,
+			Username: "u",
+			Password: "p",
+		})
+		return out, &n.Store
+	case "socket":
+		c, err := receivers.NewCollectd(filepath.Join(b.TempDir(), "c"))
+		if err != nil {
+			b.Fatal(err)
+		}
+		b.Cleanup(c.Stop)
+		return NewCollectd(c.Addr(), 20), &c.Store
+	default:
+		c, o := startCarbon(b, form == "pickle")
+		o.Timeout = 20
+		return NewGraphite(o), &c.Store
+	}
+}
+
 // BenchmarkDelivery measures the longest turn of the event loop and the cost of a period, by the number of nodes.
 func BenchmarkDelivery(b *testing.B) {
 	for _, form := range []string{"plaintext", "pickle", "network", "socket"} {
 		for _, nodes := range []int{10, 5000} {
-			b.Run(fmt.Sprintf("%s/%d", form, nodes), func(b *testing.B) {
-				var out Output
-				var store *receivers.Store
-				switch form {
-				case "network":
-					n, err := receivers.NewCollectdNetwork("127.0.0.1:0", "encrypt", map[string]string{"u": "p"})
-					if err != nil {
-						b.Fatal(err)
-					}
-					defer n.Stop()
-					out, store = NewCollectdNetwork(CollectdNetworkOptions{
-						Address:  netip.MustParseAddrPort(n.Addr()),
-						Security: SecurityEncrypt,
-						Username: "u",
-						Password: "p",
-					}), &n.Store
-				case "socket":
-					c, err := receivers.NewCollectd(filepath.Join(b.TempDir(), "c"))
-					if err != nil {
-						b.Fatal(err)
-					}
-					defer c.Stop()
-					out, store = NewCollectd(c.Addr(), 20), &c.Store
-				default:
-					c, o := startCarbon(b, form == "pickle")
-					o.Timeout = 20
-					out, store = NewGraphite(o), &c.Store
-				}
-				w := startTestbed(b, 8<<20, out)
-				w.onLoop(func() { addNodes(w.set, nodes) })
-				var longest, sum float64
-				n := 0
-				for b.Loop() {
-					w.onLoop(func() { w.loop.TakeIterationStats() })
-					var closed uint64
-					w.onLoop(func() { closed = w.exporter.ClosedPeriods; w.exporter.ClosePeriod() })
-					w.eventually("delivered", func() bool { return w.idleAfter(closed) })
-					w.onLoop(func() {
-						l := w.loop.TakeIterationStats().Longest
-						longest, sum, n = max(longest, l), sum+l, n+1
-					})
-					store.Reset()
-				}
-				b.ReportMetric(1000*longest, "ms-longest-turn")
-				b.ReportMetric(1000*sum/float64(n), "ms-mean-longest")
-			})
+			b.Run(fmt.Sprintf("%s/%d", form, nodes), func(b *testing.B) { benchmarkDelivery(b, form, nodes) })
 		}
 	}
 }
 
+func benchmarkDelivery(b *testing.B, form string, nodes int) {
+	out, store := startOutput(b, form)
+	w := startTestbed(b, 8<<20, out)
+	w.onLoop(func() { addNodes(w.set, nodes) })
+	var longest, sum float64
+	n := 0
+	for b.Loop() {
+		w.onLoop(func() { w.loop.TakeIterationStats() })
+		var closed uint64
+		w.onLoop(func() {
+			closed = w.exporter.ClosedPeriods
+			w.exporter.ClosePeriod()
+		})
+		w.eventually("delivered", func() bool { return w.idleAfter(closed) })
+		w.onLoop(func() {
+			longestOfPeriod := w.loop.TakeIterationStats().Longest
+			longest = max(longest, longestOfPeriod)
+			sum += longestOfPeriod
+			n++
+		})
+		store.Reset()
+	}
+	b.ReportMetric(1000*longest, "ms-longest-turn")
+	b.ReportMetric(1000*sum/float64(n), "ms-mean-longest")
+}
+
 // BenchmarkSlices measures the work of each kind of turn at 5,000 nodes; a turn does one of them.
 func BenchmarkSlices(b *testing.B) {
 	set := telemetry.New(telemetry.Options{
@@ -515,64 +527,77 @@
 		},
 	})
 	addNodes(set, 5000)
-	p := set.ClosePeriod(1_700_000_000_000, 10)
-	b.Run("gather", func(b *testing.B) {
-		for b.Loop() {
-			if !set.GatherNodeGauges(nodesPerTurn) {
-				b.StopTimer()
-				set.ClosePeriod(1, 1)
-				b.StartTimer()
-			}
-		}
-	})
-	b.Run("freeze", func(b *testing.B) {
-		for b.Loop() {
+	period := set.ClosePeriod(1_700_000_000_000, 10)
+	b.Run("gather", func(b *testing.B) { benchmarkGather(b, set) })
+	b.Run("freeze", func(b *testing.B) { benchmarkFreeze(b, set) })
+	b.Run("encode", func(b *testing.B) { benchmarkEncode(b, set) })
+	for _, pickle := range []bool{false, true} {
+		b.Run(fmt.Sprintf("render, pickle %v", pickle), func(b *testing.B) { benchmarkRender(b, period, pickle) })
+	}
+	b.Run("packets, encrypted", func(b *testing.B) { benchmarkEncryptedPackets(b, period) })
+}
+
+func benchmarkGather(b *testing.B, set *telemetry.Set) {
+	for b.Loop() {
+		if !set.GatherNodeGauges(nodesPerTurn) {
 			b.StopTimer()
-			for set.GatherNodeGauges(nodesPerTurn) {
-			}
+			set.ClosePeriod(1, 1)
 			b.StartTimer()
-			set.FreezePeriod(1, 1)
 		}
-	})
-	b.Run("encode", func(b *testing.B) {
+	}
+}
+
+func benchmarkFreeze(b *testing.B, set *telemetry.Set) {
+	for b.Loop() {
+		b.StopTimer()
+		for set.GatherNodeGauges(nodesPerTurn) {
+		}
+		b.StartTimer()
 		set.FreezePeriod(1, 1)
-		for b.Loop() {
-			if set.EncodePeriod(valuesPerTurn) != nil {
-				b.StopTimer()
-				set.FreezePeriod(1, 1)
-				b.StartTimer()
-			}
+	}
+}
+
+func benchmarkEncode(b *testing.B, set *telemetry.Set) {
+	set.FreezePeriod(1, 1)
+	for b.Loop() {
+		if set.EncodePeriod(valuesPerTurn) != nil {
+			b.StopTimer()
+			set.FreezePeriod(1, 1)
+			b.StartTimer()
 		}
-	})
-	for _, pickle := range []bool{false, true} {
-		b.Run(fmt.Sprintf("render, pickle %v", pickle), func(b *testing.B) {
-			g := NewGraphite(GraphiteOptions{Pickle: pickle})
-			g.exporter, g.prefix, g.period, g.reader = &Exporter{log: zap.NewNop()}, "cinderroad.n0.", p, p.Read()
-			for b.Loop() {
-				if _, _, done := g.render(nil); done {
-					g.reader = p.Read()
-				}
-			}
-		})
 	}
-	b.Run("packets, encrypted", func(b *testing.B) {
-		q, err := newPacket("n0", SecurityEncrypt, "u", "p")
-		if err != nil {
-			b.Fatal(err)
+}
+
+func benchmarkRender(b *testing.B, period *telemetry.Period, pickle bool) {
+	g := NewGraphite(GraphiteOptions{Pickle: pickle})
+	g.exporter = &Exporter{log: zap.NewNop()}
+	g.prefix = "cinderroad.n0."
+	g.period = period
+	g.reader = period.Read()
+	for b.Loop() {
+		if _, _, done := g.render(nil); done {
+			g.reader = period.Read()
 		}
-		r := p.Read()
-		for b.Loop() {
-			for range pointsPerTurn {
-				s, v, ok := r.Next()
-				if !ok {
-					r = p.Read()
-					break
-				}
-				if !q.add(s, p.Timestamp, p.Interval, v) {
-					q.protect()
-					q.clear()
-				}
+	}
+}
+
+func benchmarkEncryptedPackets(b *testing.B, period *telemetry.Period) {
+	p, err := newPacket("n0", SecurityEncrypt, "u", "p")
+	if err != nil {
+		b.Fatal(err)
+	}
+	reader := period.Read()
+	for b.Loop() {
+		for range pointsPerTurn {
+			series, value, ok := reader.Next()
+			if !ok {
+				reader = period.Read()
+				break
+			}
+			if !p.add(series, period.Timestamp, period.Interval, value) {
+				p.protect()
+				p.clear()
 			}
 		}
-	})
+	}
 }
--- a/internal/dispatcher/exporter/packet_test.go
+++ b/internal/dispatcher/exporter/packet_test.go
@@ -14,9 +14,20 @@
 	"cinderroad/internal/testkit/receivers"
 )
 
-type password string
+const testPassword = "geheim"
 
-func (p password) Password(string) (string, error) { return string(p), nil }
+// passwordLookup gives every user the same password.
+type passwordLookup string
+
+// Password implements network.PasswordLookup.
+func (p passwordLookup) Password(string) (string, error) { return string(p), nil }
+
+// packetValue is a value in a packet, as a receiver reads it.
+type packetValue struct {
+	Name  string
+	At    time.Time // rounded to a second
+	Value float64
+}
 
 // TestPacketDecodes checks that collectd's own Go library and the fake receiver decode every packet, with each
 // protection.
@@ -24,81 +35,94 @@
 	rapid.Check(t, func(t *rapid.T) {
 		security := rapid.SampledFrom([]Security{SecurityNone, SecuritySign, SecurityEncrypt}).Draw(t, "security")
 		user := rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "user")
-		p, err := newPacket("n0", security, user, "geheim")
+		p, err := newPacket("n0", security, user, testPassword)
 		if err != nil {
 			t.Fatal(err)
 		}
-		type value struct {
-			Name string
-			At   time.Time
-			V    float64
-		}
-		var want, got, there []value
-		stamp := rapid.Int64Range(1e6, 4e9).Draw(t, "seconds")*1000 + 250
-		for i := range 200 {
-			s := telemetry.Series{
-				Name: fmt.Sprintf("a.b%d.%s", i, rapid.StringMatching(`[a-z_.]{0,80}`).Draw(t, "name")),
-				Kind: telemetry.Kind(i % 2),
-			}
-			v := float64(rapid.Uint32().Draw(t, "v"))
-			if s.Kind == telemetry.Gauge {
-				v = -v / 3
-			}
-			if !p.add(s, stamp, 10, v) {
-				break
-			}
-			want = append(want, value{
-				"n0/cinderroad/" + typeOf(s.Kind) + "-" + typeInstance(s.Name),
-				time.UnixMilli(stamp).Round(time.Second),
-				v,
-			})
+		want := drawValues(t, p)
+		encoded := p.protect()
+		if len(encoded) > packetSize {
+			t.Fatalf("%d bytes", len(encoded))
 		}
-		b := p.protect()
-		if len(b) > packetSize {
-			t.Fatalf("%d bytes", len(b))
+		if diff := cmp.Diff(want, decodeWithLibrary(t, encoded, security)); diff != "" {
+			t.Fatalf("the library: %s", diff)
 		}
-		lists, err := network.Parse(b, network.ParseOpts{
-			PasswordLookup: password("geheim"),
-			SecurityLevel: map[Security]network.SecurityLevel{
-				SecurityNone:    network.None,
-				SecuritySign:    network.Sign,
-				SecurityEncrypt: network.Encrypt,
-			}[security],
-		})
-		if err != nil {
-			t.Fatal(err)
+		if diff := cmp.Diff(want, decodeWithFake(t, encoded, security, user)); diff != "" {
+			t.Fatalf("the fake: %s", diff)
 		}
-		for _, l := range lists {
-			v := 0.0
-			switch x := l.Values[0].(type) {
-			case api.Derive:
-				v = float64(x)
-			case api.Gauge:
-				v = float64(x)
-			}
-			if l.Interval != 10*time.Second {
-				t.Fatal(l.Interval)
-			}
-			got = append(got, value{l.Identifier.String(), l.Time.Round(time.Second), v})
+	})
+}
+
+// drawValues fills a packet and returns the values that a receiver must read.
+func drawValues(t *rapid.T, p *packet) (want []packetValue) {
+	timestamp := rapid.Int64Range(1e6, 4e9).Draw(t, "seconds")*1000 + 250
+	for i := range 200 {
+		series := telemetry.Series{
+			Name: fmt.Sprintf("a.b%d.%s", i, rapid.StringMatching(`[a-z_.]{0,80}`).Draw(t, "name")),
+			Kind: telemetry.Kind(i % 2),
 		}
-		points, err := receivers.DecodePacket(b, map[Security]string{
-			SecurityNone:    "none",
-			SecuritySign:    "sign",
-			SecurityEncrypt: "encrypt",
-		}[security], map[string]string{user: "geheim"})
-		if err != nil {
-			t.Fatal(err)
+		value := float64(rapid.Uint32().Draw(t, "v"))
+		if series.Kind == telemetry.Gauge {
+			value = -value / 3
 		}
-		for _, q := range points {
-			there = append(there, value{q.Series, time.UnixMilli(int64(q.Time*1000 + 0.5)).Round(time.Second), q.Value})
+		if !p.add(series, timestamp, 10, value) {
+			break
 		}
-		if d := cmp.Diff(want, got); d != "" {
-			t.Fatalf("the library: %s", d)
+		want = append(want, packetValue{
+			Name:  "n0/cinderroad/" + typeOf(series.Kind) + "-" + typeInstance(series.Name),
+			At:    time.UnixMilli(timestamp).Round(time.Second),
+			Value: value,
+		})
+	}
+	return want
+}
+
+// decodeWithLibrary decodes a packet with collectd's own Go library.
+func decodeWithLibrary(t *rapid.T, encoded []byte, security Security) (values []packetValue) {
+	levels := map[Security]network.SecurityLevel{
+		SecurityNone:    network.None,
+		SecuritySign:    network.Sign,
+		SecurityEncrypt: network.Encrypt,
+	}
+	lists, err := network.Parse(encoded, network.ParseOpts{
+		PasswordLookup: passwordLookup(testPassword),
+		SecurityLevel:  levels[security],
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, list := range lists {
+		value := 0.0
+		switch v := list.Values[0].(type) {
+		case api.Derive:
+			value = float64(v)
+		case api.Gauge:
+			value = float64(v)
 		}
-		if d := cmp.Diff(want, there); d != "" {
-			t.Fatalf("the fake: %s", d)
+		if list.Interval != 10*time.Second {
+			t.Fatal(list.Interval)
 		}
-	})
+		values = append(values, packetValue{list.Identifier.String(), list.Time.Round(time.Second), value})
+	}
+	return values
+}
+
+// decodeWithFake decodes a packet with the fake receiver.
+func decodeWithFake(t *rapid.T, encoded []byte, security Security, user string) (values []packetValue) {
+	levels := map[Security]string{
+		SecurityNone:    "none",
+		SecuritySign:    "sign",
+		SecurityEncrypt: "encrypt",
+	}
+	points, err := receivers.DecodePacket(encoded, levels[security], map[string]string{user: testPassword})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, point := range points {
+		at := time.UnixMilli(int64(point.Time*1000 + 0.5)).Round(time.Second)
+		values = append(values, packetValue{point.Series, at, point.Value})
+	}
+	return values
 }
 
 // FuzzDecodePacket checks that truncated packets don't crash the fake receiver, and that it accepts nothing
