--- a/grpcbalancer/backend.go
+++ b/grpcbalancer/backend.go
@@ -85,9 +85,11 @@
 	b.dispatcher.mu.Lock()
 	result, confirmed := b.dispatcher.core.ConfirmSend(attempt.id)
 	if confirmed && !connected {
-		result, confirmed = loadbalancer.ConnectFailed, false
+		result = loadbalancer.ConnectFailed
+		confirmed = false
 	}
-	if attempt.started = confirmed; !confirmed {
+	attempt.started = confirmed
+	if !confirmed {
 		delete(b.attempts, attempt.id)
 		b.dispatcher.core.HandleOutcome(attempt.id, dispatch.Outcome{Result: result})
 		b.dispatcher.mu.Unlock()
@@ -108,7 +110,8 @@
 	delete(b.attempts, attempt.id)
 	outcome := dispatch.Outcome{Result: resultOf(err, trailer, attempt.notSent), Report: b.dispatcher.parseReport(trailer)}
 	if outcome.Result == loadbalancer.OK && call.servedReply == nil {
-		call.servedReply, call.servedErr = reply, err
+		call.servedReply = reply
+		call.servedErr = err
 	} else if outcome.Result != loadbalancer.OK {
 		call.lastErr = err
 	}
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -141,7 +141,8 @@
 	for address, server := range d.backends {
 		if !listed[address] && server.connection.subConn != nil {
 			departed = append(departed, server.connection.subConn)
-			server.connection.subConn, server.connection.ready = nil, false
+			server.connection.subConn = nil
+			server.connection.ready = false
 			delete(d.backends, address)
 		}
 	}
@@ -192,7 +193,8 @@
 	}
 	b.dispatcher.withLock(func() {
 		for _, server := range b.dispatcher.backends {
-			server.connection.subConn, server.connection.ready = nil, false
+			server.connection.subConn = nil
+			server.connection.ready = false
 		}
 		b.dispatcher.core.UpdateMembers(loadbalancer.ListFull, nil)
 	})
--- a/grpcbalancer/dispatcher.go
+++ b/grpcbalancer/dispatcher.go
@@ -87,8 +87,13 @@
 
 // DialOptions returns what a ClientConn needs: the interceptor, the balancer, and no retries of the library's own.
 func (d *Dispatcher) DialOptions() []grpc.DialOption {
-	return []grpc.DialOption{grpc.WithUnaryInterceptor(d.intercept), grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultServiceConfig(fmt.Sprintf(`{"loadBalancingConfig":[{%q:{"dispatcher":%q}}]}`, balancerName, d.name))}
+	serviceConfig := fmt.Sprintf(`{"loadBalancingConfig":[{%q:{"dispatcher":%q}}]}`, balancerName, d.name)
+	return []grpc.DialOption{
+		grpc.WithUnaryInterceptor(d.intercept),
+		grpc.WithDisableRetry(),
+		grpc.WithDisableServiceConfig(),
+		grpc.WithDefaultServiceConfig(serviceConfig),
+	}
 }
 
 // Close stops the timers. Calls in flight end by their own deadlines; Close does not wait for them.
@@ -119,7 +124,8 @@
 func (d *Dispatcher) exclude(operation func(string) dispatch.ExclusionChange, address string) (known bool) {
 	d.withLock(func() {
 		change := operation(address)
-		if known = change.Known && !change.LimitReached; known {
+		known = change.Known && !change.LimitReached
+		if known {
 			d.core.ApplyExclusions(change.Exclusions)
 		}
 	})
--- a/grpcbalancer/interceptor.go
+++ b/grpcbalancer/interceptor.go
@@ -35,8 +35,14 @@
 func (c *unaryCall) Answer(answer dispatch.Answer) { c.answer <- answer }
 
 // intercept owns a unary call from its start to its one answer.
-func (d *Dispatcher) intercept(ctx context.Context, method string, request, reply any, conn *grpc.ClientConn,
-	invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
+func (d *Dispatcher) intercept(
+	ctx context.Context,
+	method string,
+	request, reply any,
+	conn *grpc.ClientConn,
+	invoke grpc.UnaryInvoker,
+	options ...grpc.CallOption,
+) error {
 	class, known := d.options.Class(method)
 	if !known || class < 0 || class >= len(d.options.Settings.Classes) {
 		return status.Errorf(codes.FailedPrecondition, "grpcbalancer: no class for %s", method)
@@ -82,7 +88,9 @@
 // deliver turns the core's answer into the call's: it fills the reply or returns the status.
 func (d *Dispatcher) deliver(call *unaryCall, answer dispatch.Answer, reply any) error {
 	d.mu.Lock() // attempts that are still in flight may write here
-	served, servedErr, lastErr := call.servedReply, call.servedErr, call.lastErr
+	served := call.servedReply
+	servedErr := call.servedErr
+	lastErr := call.lastErr
 	d.mu.Unlock()
 	switch answer.Verdict {
 	case dispatch.Served:
--- a/grpcbalancer/picker.go
+++ b/grpcbalancer/picker.go
@@ -19,9 +19,11 @@
 	}
 	p.dispatcher.mu.Lock()
 	defer p.dispatcher.mu.Unlock()
-	if attempt.picks++; attempt.picks > 1 || attempt.backend.connection.subConn == nil || !attempt.backend.connection.ready {
+	attempt.picks++
+	connection := &attempt.backend.connection
+	if attempt.picks > 1 || connection.subConn == nil || !connection.ready {
 		attempt.notSent = true
 		return balancer.PickResult{}, status.Error(codes.Unavailable, "grpcbalancer: not sent")
 	}
-	return balancer.PickResult{SubConn: attempt.backend.connection.subConn}, nil
+	return balancer.PickResult{SubConn: connection.subConn}, nil
 }
--- a/loadbalancer/balancer_test.go
+++ b/loadbalancer/balancer_test.go
@@ -285,7 +285,8 @@
 // outcome ends attempt n; an OK closes the request.
 func (r *recorder) outcome(id RequestID, n int, result Result, report ...float32) {
 	a := &r.attempts[id][n]
-	a.inFlight, a.result = false, result
+	a.inFlight = false
+	a.result = result
 	closed := r.answered[id] || result == OK
 	if result == OK {
 		r.answered[id] = true
@@ -402,7 +403,8 @@
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		settings := testSettings()
-		settings.MayRetryAfter, settings.MaxRetryAfter = allowed, 2
+		settings.MayRetryAfter = allowed
+		settings.MaxRetryAfter = 2
 		r := newRecorder(t, settings, 1)
 		r.list(ListFull, ready(1)...)
 		for id := RequestID(1); id < 400 && len(r.rejected) == 0; id++ {
@@ -470,7 +472,8 @@
 	r.list(ListFull, ready(1)...)
 	for i := 0; i < 50; i++ {
 		next := r.timers[len(r.timers)-1]
-		r.now, r.timers = next.at-1e-7, nil
+		r.now = next.at - 1e-7
+		r.timers = nil
 		r.balancer.HandleTimer(r.now, next.token)
 		if len(r.timers) == 0 {
 			t.Fatal("no further sweep was asked for")
@@ -684,7 +687,8 @@
 		plans, last := 0, r.balancer.plannedAt
 		for i := 0; i < 100; i++ {
 			if r.runTo(r.now + r.balancer.sweepInterval); r.balancer.plannedAt != last {
-				plans, last = plans+1, r.balancer.plannedAt
+				plans++
+				last = r.balancer.plannedAt
 			}
 		}
 		if plans < c.least || plans > c.most {
@@ -724,7 +728,8 @@
 // In a large cluster each of hundreds of instances would lose a job to learn that a worker is dead; probes find it out.
 func TestFailedProbeEjectsWorker(t *testing.T) {
 	s := testSettings()
-	s.MayProbe, s.ReportsByProbe = true, true
+	s.MayProbe = true
+	s.ReportsByProbe = true
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, ready(2)...)
 	for i := 0; i < 3; i++ {
@@ -752,7 +757,8 @@
 	}
 	w := r.balancer.workers[0]
 	r.balancer.learnReport(r.now, r.balancer.workers[1], []float32{60, 1, 0})
-	r.balancer.workers[1].otherJobs, w.reported = 60, false
+	r.balancer.workers[1].otherJobs = 60
+	w.reported = false
 	r.balancer.rebuildPlan(r.now)
 	if r.request(9, 0, 0.5); !r.rejected[9] {
 		t.Errorf("no rejection though what is known is a queue of 60: spare slots %.1f and %.1f",
@@ -805,7 +811,8 @@
 // Guards against a worker polled once in ten seconds whose report counts for forty, and attracts every job meanwhile.
 func TestRarelyPolledReportExpires(t *testing.T) {
 	s := testSettings()
-	s.MayProbe, s.ReportsByProbe = true, true
+	s.MayProbe = true
+	s.ReportsByProbe = true
 	r := newRecorder(t, s, 1)
 	r.list(ListFull, ready(2)...)
 	was := r.balancer.reportPeriod
@@ -831,12 +838,16 @@
 // stay as they are while others depart, and are all of them in a small cluster.
 func TestViewIsAnEvenStableSubset(t *testing.T) {
 	settings := testSettings()
-	settings.MayProbe, settings.ReportsByProbe, settings.Instances = true, true, 200
+	settings.MayProbe = true
+	settings.ReportsByProbe = true
+	settings.Instances = 200
 	fleet := ready(80)
 	for i := range fleet {
 		fleet[i].Zone = i % 2
 	}
-	seen, unchanged, all := map[WorkerID]int{}, 0, 0
+	seen := map[WorkerID]int{}
+	unchanged := 0
+	all := 0
 	for settings.Instance = 0; settings.Instance < settings.Instances; settings.Instance++ {
 		r := newRecorder(t, settings, 1)
 		r.list(ListFull, fleet...)
@@ -997,18 +1008,21 @@
 
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Classes":                func(s *Settings) { s.Classes = nil },
-		"Classes[0].Objective":   func(s *Settings) { s.Classes[0].Objective = 0 },
-		"Classes[1].Window":      func(s *Settings) { s.Classes[1].DedupWindow = 0 },
-		"Classes[0].Deadline":    func(s *Settings) { s.Classes[0].Deadline = -1 },
-		"Zones":                  func(s *Settings) { s.Zones = 0 },
-		"Zone":                   func(s *Settings) { s.Zone = 5 },
-		"Instances":              func(s *Settings) { s.Instances = 0 },
-		"MaxAttempts":            func(s *Settings) { s.MaxAttempts = 0 },
-		"Tick":                   func(s *Settings) { s.Tick = 0 },
-		"ColdShare":              func(s *Settings) { s.SlowStartInitialShare = 2 },
-		"FallTime":               func(s *Settings) { s.OverloadWindow = 0 },
-		"AskWithin":              func(s *Settings) { s.ListOnRequest, s.ListRefreshInterval = true, 0 },
+		"Classes":              func(s *Settings) { s.Classes = nil },
+		"Classes[0].Objective": func(s *Settings) { s.Classes[0].Objective = 0 },
+		"Classes[1].Window":    func(s *Settings) { s.Classes[1].DedupWindow = 0 },
+		"Classes[0].Deadline":  func(s *Settings) { s.Classes[0].Deadline = -1 },
+		"Zones":                func(s *Settings) { s.Zones = 0 },
+		"Zone":                 func(s *Settings) { s.Zone = 5 },
+		"Instances":            func(s *Settings) { s.Instances = 0 },
+		"MaxAttempts":          func(s *Settings) { s.MaxAttempts = 0 },
+		"Tick":                 func(s *Settings) { s.Tick = 0 },
+		"ColdShare":            func(s *Settings) { s.SlowStartInitialShare = 2 },
+		"FallTime":             func(s *Settings) { s.OverloadWindow = 0 },
+		"AskWithin": func(s *Settings) {
+			s.ListOnRequest = true
+			s.ListRefreshInterval = 0
+		},
 		"Tenants[0].QuotaPerSec": func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSec: -1}} },
 	} {
 		s := testSettings()
@@ -1019,84 +1033,17 @@
 	}
 }
 
-// playRandomEvents feeds a seeded sequence of ordinary and odd events; the recorder checks the rules all along.
-// It is one function since the order in which it draws is recorded in testdata/replay.txt.
+// playRandomEvents feeds a seeded sequence of ordinary and odd events; the recorder checks the rules all along. The order
+// in which events draw is recorded in testdata/replay.txt: it must not change.
 func playRandomEvents(t testing.TB, s Settings, seed int64, steps int) []string {
 	t.Helper()
-	rng := rand.New(rand.NewSource(seed))
 	r := newRecorder(t, s, uint64(seed))
 	for i := 1; i <= 6; i++ {
 		r.list(ListDelta, Worker{ID: WorkerID(i), Zone: i % 2, Kind: i % 2, Cell: i % 3, State: Ready})
 	}
-	next := RequestID(1)
-	odd := []float64{0, -1, 1e300, nan(), inf(), 0.05}
+	events := &randomEvents{recorder: r, rng: rand.New(rand.NewSource(seed)), nextID: 1}
 	for i := 0; i < steps; i++ {
-		r.runTo(r.now + rng.Float64()*0.05)
-		switch rng.Intn(12) {
-		case 0, 1, 2, 3:
-			q := Request{
-				ID:       next,
-				Class:    rng.Intn(len(s.Classes)),
-				Slots:    float64(rng.Intn(3)),
-				Work:     rng.Float64() * 0.3,
-				Deadline: r.now + 0.02 + rng.Float64()*6,
-			}
-			if rng.Intn(10) == 0 {
-				q.Work, q.Slots, q.Memory = odd[rng.Intn(6)], odd[rng.Intn(6)], odd[rng.Intn(6)]
-				q.Class, q.Tenant = rng.Intn(9)-1, rng.Intn(5)-2
-			}
-			r.requests[next] = &q
-			r.balancer.HandleRequest(r.now, &q)
-			next++
-		case 4, 5, 6, 7, 8:
-			if len(r.sends) == 0 {
-				continue
-			}
-			pick := r.sends[max(0, len(r.sends)-1-rng.Intn(20))]
-			for n := range r.attempts[pick.id] {
-				a := r.attempts[pick.id][n]
-				switch {
-				case !a.inFlight:
-					r.balancer.HandleOutcome(r.now, &Outcome{Request: pick.id, Attempt: n, Result: OK}) // repeated
-				case !a.started && rng.Intn(2) == 0:
-					r.start(pick.id, n)
-				case a.started && rng.Intn(4) == 0:
-					r.balancer.HandleProgress(r.now, &ProgressUpdate{Request: pick.id, Attempt: n, Fraction: odd[rng.Intn(6)]})
-				default:
-					r.outcome(pick.id, n, Result(rng.Intn(8)), float32(rng.Intn(9)), rng.Float32(),
-						float32(odd[rng.Intn(6)]))
-				}
-			}
-		case 9:
-			w := Worker{
-				ID:     WorkerID(1 + rng.Intn(8)),
-				Zone:   rng.Intn(4) - 1,
-				Kind:   rng.Intn(2),
-				Cell:   rng.Intn(3),
-				State:  WorkerState(rng.Intn(3)),
-				Weight: odd[rng.Intn(6)],
-			}
-			if rng.Intn(2) == 0 {
-				w.StartedAt = r.now - rng.Float64()*3
-			}
-			if old, known := r.workers[w.ID]; known { // a worker does not move
-				w.Zone, w.Kind, w.Cell = old.Zone, old.Kind, old.Cell
-			}
-			r.list(ListDelta, w)
-		case 10:
-			r.list(ListFailed)
-			r.balancer.HandleProgress(r.now, &ProgressUpdate{Request: 1 << 30, Attempt: 3, Started: true})
-			r.balancer.HandleOutcome(r.now, &Outcome{Request: 1, Attempt: 200})
-			r.balancer.HandleProbeResult(r.now, 999, OK, []float32{1})
-			r.balancer.HandleDisconnect(r.now, 1<<30)
-			r.balancer.HandleTimer(r.now, rng.Uint32())
-		case 11:
-			id := RequestID(1 + rng.Intn(int(next)))
-			if r.requests[id] != nil && !r.answered[id] {
-				r.answered[id] = true
-				r.balancer.HandleDisconnect(r.now, id)
-			}
-		}
+		events.step()
 	}
 	r.runTo(r.now + 11)
 	for id := range r.requests {
@@ -1107,11 +1054,132 @@
 	return r.trace
 }
 
+// randomEvents draws events for a balancer. Each method draws in a fixed order.
+type randomEvents struct {
+	*recorder
+	rng    *rand.Rand
+	nextID RequestID
+}
+
+var oddNumbers = []float64{0, -1, 1e300, nan(), inf(), 0.05}
+
+func (e *randomEvents) oddNumber() float64 { return oddNumbers[e.rng.Intn(len(oddNumbers))] }
+
+// step lets some time pass and has one event happen.
+func (e *randomEvents) step() {
+	e.runTo(e.now + e.rng.Float64()*0.05)
+	switch e.rng.Intn(12) {
+	case 0, 1, 2, 3:
+		e.arrive()
+	case 4, 5, 6, 7, 8:
+		e.advanceAttempts()
+	case 9:
+		e.changeWorker()
+	case 10:
+		e.feedUnknown()
+	case 11:
+		e.disconnect()
+	}
+}
+
+// arrive has a request arrive, now and then one that makes no sense.
+func (e *randomEvents) arrive() {
+	request := Request{
+		ID:       e.nextID,
+		Class:    e.rng.Intn(len(e.settings.Classes)),
+		Slots:    float64(e.rng.Intn(3)),
+		Work:     e.rng.Float64() * 0.3,
+		Deadline: e.now + 0.02 + e.rng.Float64()*6,
+	}
+	if e.rng.Intn(10) == 0 {
+		request.Work = e.oddNumber()
+		request.Slots = e.oddNumber()
+		request.Memory = e.oddNumber()
+		request.Class = e.rng.Intn(9) - 1
+		request.Tenant = e.rng.Intn(5) - 2
+	}
+	e.requests[e.nextID] = &request
+	e.balancer.HandleRequest(e.now, &request)
+	e.nextID++
+}
+
+// advanceAttempts has something happen to each attempt of a request that was sent lately.
+func (e *randomEvents) advanceAttempts() {
+	if len(e.sends) == 0 {
+		return
+	}
+	id := e.sends[max(0, len(e.sends)-1-e.rng.Intn(20))].id
+	for n := range e.attempts[id] {
+		attempt := e.attempts[id][n]
+		switch {
+		case !attempt.inFlight:
+			e.balancer.HandleOutcome(e.now, &Outcome{Request: id, Attempt: n, Result: OK}) // repeated
+		case !attempt.started && e.rng.Intn(2) == 0:
+			e.start(id, n)
+		case attempt.started && e.rng.Intn(4) == 0:
+			e.balancer.HandleProgress(e.now, &ProgressUpdate{Request: id, Attempt: n, Fraction: e.oddNumber()})
+		default:
+			result := Result(e.rng.Intn(8))
+			inFlight := float32(e.rng.Intn(9))
+			utilization := e.rng.Float32()
+			freeSlots := float32(e.oddNumber())
+			e.outcome(id, n, result, inFlight, utilization, freeSlots)
+		}
+	}
+}
+
+// changeWorker has the list add or change a worker.
+func (e *randomEvents) changeWorker() {
+	worker := Worker{
+		ID:     WorkerID(1 + e.rng.Intn(8)),
+		Zone:   e.rng.Intn(4) - 1,
+		Kind:   e.rng.Intn(2),
+		Cell:   e.rng.Intn(3),
+		State:  WorkerState(e.rng.Intn(3)),
+		Weight: e.oddNumber(),
+	}
+	if e.rng.Intn(2) == 0 {
+		worker.StartedAt = e.now - e.rng.Float64()*3
+	}
+	if old, known := e.workers[worker.ID]; known { // a worker does not move
+		worker.Zone = old.Zone
+		worker.Kind = old.Kind
+		worker.Cell = old.Cell
+	}
+	e.list(ListDelta, worker)
+}
+
+// feedUnknown feeds a failed list, and events of requests, workers and timers that are not there.
+func (e *randomEvents) feedUnknown() {
+	e.list(ListFailed)
+	e.balancer.HandleProgress(e.now, &ProgressUpdate{Request: 1 << 30, Attempt: 3, Started: true})
+	e.balancer.HandleOutcome(e.now, &Outcome{Request: 1, Attempt: 200})
+	e.balancer.HandleProbeResult(e.now, 999, OK, []float32{1})
+	e.balancer.HandleDisconnect(e.now, 1<<30)
+	e.balancer.HandleTimer(e.now, e.rng.Uint32())
+}
+
+// disconnect has the client of a request leave, if the request waits for its answer.
+func (e *randomEvents) disconnect() {
+	id := RequestID(1 + e.rng.Intn(int(e.nextID)))
+	if e.requests[id] != nil && !e.answered[id] {
+		e.answered[id] = true
+		e.balancer.HandleDisconnect(e.now, id)
+	}
+}
+
 func variants() []Settings {
-	plain, strict, probing := testSettings(), testSettings(), testSettings()
-	strict.ParallelAttempts, strict.MayCancel, strict.MaxAttempts, strict.ReportsStart = false, false, 2, false
+	plain := testSettings()
+	strict := testSettings()
+	strict.ParallelAttempts = false
+	strict.MayCancel = false
+	strict.MaxAttempts = 2
+	strict.ReportsStart = false
 	strict.ReportFields = nil
-	probing.MayProbe, probing.ReportsByProbe, probing.ListOnRequest = true, true, true
+	probing := testSettings()
+	probing.MayProbe = true
+	probing.ReportsByProbe = true
+	probing.ListOnRequest = true
 	probing.Tenants = []Tenant{{Name: "a", QuotaPerSec: 3}, {Name: "b", QuotaPerSec: 9}}
 	return []Settings{plain, strict, probing}
 }
--- a/loadbalancer/baseline_test.go
+++ b/loadbalancer/baseline_test.go
@@ -154,12 +154,18 @@
 		"free slots alone": FieldFreeSlots,
 		"queue alone":      FieldQueued,
 	} {
-		with(name, planWithoutReports(), func(p *simulationPlan) { p.settings.ReportFields, p.reportAge = []ReportField{f}, 0.5 })
+		with(name, planWithoutReports(), func(p *simulationPlan) {
+			p.settings.ReportFields = []ReportField{f}
+			p.reportAge = 0.5
+		})
 	}
 	with("reports by probes", planWithReports(), func(p *simulationPlan) { p.settings.ReportsByProbe = true })
 	with("no copies", planWithReports(), func(p *simulationPlan) { p.settings.ParallelAttempts = false })
 	with("no hints", planWithReports(), func(p *simulationPlan) { p.hints = false })
-	with("no hints, no reports", planWithReports(), func(p *simulationPlan) { p.hints, p.settings.ReportFields = false, nil })
+	with("no hints, no reports", planWithReports(), func(p *simulationPlan) {
+		p.hints = false
+		p.settings.ReportFields = nil
+	})
 	with("no weights", planWithoutReports(), func(p *simulationPlan) { p.weights = false })
 	with("one zone", planWithoutReports(), func(p *simulationPlan) { p.settings.Zones = 1 })
 	with("one kind", planWithoutReports(), func(p *simulationPlan) { p.kinds = p.kinds[1:2]; p.kinds[0].share = 1 })
@@ -169,7 +175,8 @@
 	with("tenants", planWithoutReports(), func(p *simulationPlan) { p.settings.Tenants = []Tenant{{Name: "a", QuotaPerSec: 1}} })
 	with("unsafe classes", planWithoutReports(), func(p *simulationPlan) {
 		p.settings.Classes = append([]Class(nil), p.settings.Classes...)
-		p.settings.Classes[1].RetrySafety, p.settings.Classes[2].RetrySafety = RetryUnsafe, RetryUnsafe
+		p.settings.Classes[1].RetrySafety = RetryUnsafe
+		p.settings.Classes[2].RetrySafety = RetryUnsafe
 	})
 	with("late is worth nothing", planWithoutReports(), func(p *simulationPlan) {
 		p.settings.Classes = append([]Class(nil), p.settings.Classes...)
@@ -178,7 +185,11 @@
 		}
 	})
 	with("36 instances, uneven", planWithoutReports(), func(p *simulationPlan) {
-		p.workers, p.instances, p.uneven, p.skew, p.length = 30, 36, true, 0, 20
+		p.workers = 30
+		p.instances = 36
+		p.uneven = true
+		p.skew = 0
+		p.length = 20
 	})
 	with("a worker slows down", planWithoutReports(), func(p *simulationPlan) { p.slowdown = 6 })
 	with("a third starts anew", planWithoutReports(), func(p *simulationPlan) { p.restarts = true })
--- a/loadbalancer/instances.go
+++ b/loadbalancer/instances.go
@@ -19,14 +19,17 @@
 // SetInstanceShare sets the position; call it between events. It decides nothing itself. An invalid one
 // changes nothing.
 func (b *Balancer) SetInstanceShare(share InstanceShare) error {
-	if share.Instances < 1 || share.Instance < 0 || share.Instance >= share.Instances ||
-		!(share.BudgetShare > 0 && share.BudgetShare <= 1) ||
-		share.InstanceKeys != nil && len(share.InstanceKeys) != share.Instances {
+	isInstanceValid := share.Instance >= 0 && share.Instance < share.Instances // so that Instances is at least 1
+	isBudgetValid := share.BudgetShare > 0 && share.BudgetShare <= 1
+	areKeysValid := share.InstanceKeys == nil || len(share.InstanceKeys) == share.Instances
+	if !isInstanceValid || !isBudgetValid || !areKeysValid {
 		return fmt.Errorf("loadbalancer: invalid instance share: %d of %d, budget share %v, %d keys",
 			share.Instance, share.Instances, share.BudgetShare, len(share.InstanceKeys))
 	}
-	b.Instances, b.Instance = share.Instances, share.Instance
-	b.budgetShare, b.instanceKeys = share.BudgetShare, share.InstanceKeys
+	b.Instances = share.Instances
+	b.Instance = share.Instance
+	b.budgetShare = share.BudgetShare
+	b.instanceKeys = share.InstanceKeys
 	b.instanceKeysVersion++
 	b.maxHedgeBudget = maxHedges(share.Instances)
 	b.hedgeBudget = math.Min(b.hedgeBudget, b.maxHedgeBudget)
@@ -46,7 +49,9 @@
 		return (b.Instance + b.Instances - first) % b.Instances
 	}
 	if worker.orderKeysVersion != b.instanceKeysVersion || worker.orderTurn != turn {
-		worker.orderKeysVersion, worker.orderTurn, worker.order = b.instanceKeysVersion, turn, 0
+		worker.orderKeysVersion = b.instanceKeysVersion
+		worker.orderTurn = turn
+		worker.order = 0
 		own := capacity.Hash(hash ^ b.instanceKeys[b.Instance])
 		for _, key := range b.instanceKeys {
 			if capacity.Hash(hash^key) < own {
--- a/loadbalancer/instances_simulation_test.go
+++ b/loadbalancer/instances_simulation_test.go
@@ -63,7 +63,8 @@
 func (g *instanceGroup) run(until, busy, work float64, rng *rand.Rand, id *RequestID) {
 	const step = 0.01
 	for ; g.now < until; g.now += step {
-		if g.history = append(g.history, maps.Clone(g.jobs)); float64(len(g.history)) > g.reportDelay/step {
+		g.history = append(g.history, maps.Clone(g.jobs))
+		if float64(len(g.history)) > g.reportDelay/step {
 			g.history = g.history[1:]
 		}
 		for len(g.outcomes) > 0 && g.outcomes[0].at <= g.now {
@@ -91,7 +92,8 @@
 				r.request(*id, 0, work)
 			}
 			for _, send := range r.sends[g.handledSends[instance]:] {
-				if g.allSends++; g.jobs[send.worker] >= g.slots {
+				g.allSends++
+				if g.jobs[send.worker] >= g.slots {
 					g.fullSends++
 				}
 				g.jobs[send.worker]++
@@ -137,14 +139,18 @@
 			news, colds := replaceHalf(workers, 1003) // and the rest are full
 			c.list(news...)
 			c.run(1009, load, work, rng, &id)
-			able, got, least, most := 0.0, 0.0, math.Inf(1), 0.0
+			able := 0.0
+			got := 0.0
+			least := math.Inf(1)
+			most := 0.0
 			for at := 1003.0; at < 1009; at += 0.01 {
 				able += 0.01 * size * warmAt(settings, at-3)
 			}
 			for _, cold := range colds {
 				most = max(most, c.maxSlowStartLoad(settings, cold, 1003, work))
 				share := work * float64(len(c.sends[cold])) / able
-				got, least = got+share/float64(len(colds)), min(least, share)
+				got += share / float64(len(colds))
+				least = min(least, share)
 			}
 			if most > 1 {
 				t.Errorf("a worker in slow start was sent %.2f of what it bears", most)
--- a/loadbalancer/instances_test.go
+++ b/loadbalancer/instances_test.go
@@ -33,7 +33,9 @@
 		}
 		// The budget in largest jobs is the most that hold a turn: few, some, all.
 		work := rapid.SampledFrom([]float64{0.05, 0.3, 0.8}).Draw(rt, "work")
-		now, sum, budget := 1000.5+2*rng.Float64(), 0.0, 0.0
+		now := 1000.5 + 2*rng.Float64()
+		sum := 0.0
+		budget := 0.0
 		for i := range senders {
 			keys := append([]uint64{}, senders...)
 			for _, o := range others {
@@ -59,7 +61,8 @@
 func TestInstanceOfSettingsDecidesAsInstanceShare(t *testing.T) {
 	play := func(set bool) (sends []string) {
 		s := testSettings()
-		s.Instances, s.Instance = 5, 2
+		s.Instances = 5
+		s.Instance = 2
 		r := newRecorder(t, s, 1)
 		own := InstanceShare{Instances: 5, Instance: 2, BudgetShare: 1}
 		if set {
--- a/loadbalancer/learning.go
+++ b/loadbalancer/learning.go
@@ -9,25 +9,32 @@
 // updateMeans computes the own jobs that wait to start on each worker, the workers' slots and their mean
 // error rate; decay is the share of the longest deadline that has passed since the last time.
 func (b *Balancer) updateMeans(now, decay float64) {
-	slots, reporting, fewest := 0.0, 0.0, math.Inf(1)
-	errors, observed := 0.0, 0.0
-	weight, weights := 0.0, 0.0
+	slots, reporting := 0.0, 0.0 // sum over the workers that have shown their slots; their number
+	fewestSlots := math.Inf(1)
+	errors, observed := 0.0, 0.0 // sum of error rates; number of workers
+	weight, weights := 0.0, 0.0  // sum; number of workers that have one
 	b.totalSlots = 0
 	for _, worker := range b.workers {
-		worker.longestWait, worker.queuedSlots = 0, 0
+		worker.longestWait = 0
+		worker.queuedSlots = 0
 		if worker.State == Ready {
 			b.totalSlots += b.slotsOf(worker) * b.warmth(now, worker)
 			if worker.Weight > 0 && isFinite(worker.Weight) {
-				weight, weights = weight+worker.Weight, weights+1
+				weight += worker.Weight
+				weights++
 			}
 		}
 		if worker.ejection.Observed && worker.State == Ready {
-			errors, observed = errors+worker.ejection.ErrorRate, observed+1
+			errors += worker.ejection.ErrorRate
+			observed++
 		}
 		if worker.slots > 0 {
-			slots, reporting, fewest = slots+worker.slots, reporting+1, math.Min(fewest, worker.slots)
+			slots += worker.slots
+			reporting++
+			fewestSlots = math.Min(fewestSlots, worker.slots)
 			if kind := b.kindOf(worker); kind.slotsAt != now {
-				kind.slots, kind.slotsAt = worker.slots, now
+				kind.slots = worker.slots
+				kind.slotsAt = now
 			} else { // a worker that queued more than it runs may look larger than it is
 				kind.slots = math.Min(kind.slots, worker.slots)
 			}
@@ -36,9 +43,11 @@
 	for _, kind := range b.kinds {
 		capacity.UpdateMean(&kind.meanWait, 0, decay) // without sends there are no new samples
 	}
-	b.meanErrorRate, b.meanWeight = errors/math.Max(observed, 1), weight/math.Max(weights, 1)
+	b.meanErrorRate = errors / math.Max(observed, 1)
+	b.meanWeight = weight / math.Max(weights, 1)
 	if reporting > 0 {
-		b.minSlots, b.meanSlots = fewest, slots/reporting
+		b.minSlots = fewestSlots
+		b.meanSlots = slots / reporting
 	} else { // meanSlots is only an estimate: slow start trusts half of it
 		b.minSlots = math.Max(1, b.meanSlots/2)
 	}
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -131,7 +131,8 @@
 	}
 	plans := omittedPlans()
 	restarting := planWithReports()
-	restarting.restarts, restarting.slowdown = true, 4
+	restarting.restarts = true
+	restarting.slowdown = 4
 	plans["all told, a third starts anew, some slow down"] = restarting
 	names := make([]string, 0, len(plans))
 	for name := range plans {
--- a/loadbalancer/reports.go
+++ b/loadbalancer/reports.go
@@ -80,6 +80,8 @@
 	if worker.limits.Load == 0 {
 		worker.limits.Load = initialMargin * worker.slots
 	}
-	worker.reported, worker.reportedAt = true, now
-	worker.inFlight, worker.utilization = parsed.inFlight, math.Max(parsed.utilization, 0)
+	worker.reported = true
+	worker.reportedAt = now
+	worker.inFlight = parsed.inFlight
+	worker.utilization = math.Max(parsed.utilization, 0)
 }
--- a/loadbalancer/request.go
+++ b/loadbalancer/request.go
@@ -34,18 +34,22 @@
 // admit adds an arrival; an invalid deadline, hint or size counts as not given.
 func (b *Balancer) admit(now float64, arrival *Request) *requestState {
 	request := b.newRequest()
-	request.Request, request.arrivedAt, request.class = *arrival, now, &b.Classes[arrival.Class]
+	request.Request = *arrival
+	request.arrivedAt = now
+	request.class = &b.Classes[arrival.Class]
 	if !isFinite(request.Deadline) || request.Deadline > now+request.class.Deadline {
 		request.Deadline = now + request.class.Deadline
 	}
 	if !isFinite(request.Work) || request.Work < 0 {
 		request.Work = 0
 	}
-	if request.cost = b.meanWork[arrival.Class]; request.Work > 0 {
+	request.cost = b.meanWork[arrival.Class]
+	if request.Work > 0 {
 		request.cost = request.Work
 		capacity.UpdateMean(&b.meanWork[arrival.Class], request.Work, clusterLearningRate)
 	}
-	if request.slotsNeeded = request.Slots; !isFinite(request.slotsNeeded) || request.slotsNeeded <= 0 {
+	request.slotsNeeded = request.Slots
+	if !isFinite(request.slotsNeeded) || request.slotsNeeded <= 0 {
 		request.slotsNeeded = 1
 	}
 	capacity.UpdateMean(&b.slotsPerJob, math.Min(request.slotsNeeded, maxJobSlots), clusterLearningRate)
--- a/loadbalancer/settings.go
+++ b/loadbalancer/settings.go
@@ -89,7 +89,9 @@
 // validate returns an error for the first field that is missing or invalid. Errors name the fields
 // as the settings file does, which operators know.
 func (s *Settings) validate() error {
-	invalid := func(field string, v any) error { return fmt.Errorf("loadbalancer: settings: bad %s: %v", field, v) }
+	invalid := func(field string, value any) error {
+		return fmt.Errorf("loadbalancer: settings: bad %s: %v", field, value)
+	}
 	if len(s.Classes) == 0 {
 		return invalid("Classes", "none given")
 	}
@@ -123,9 +125,13 @@
 		value    float64
 		positive bool
 	}{
-		{"MaxRetryAfter", s.MaxRetryAfter, false}, {"Tick", s.Tick, true}, {"AnswerSlack", s.AnswerSlack, false},
-		{"AskWithin", s.ListRefreshInterval, s.ListOnRequest}, {"ColdTime", s.SlowStartDuration, false},
-		{"FallMultiple", s.OverloadMultiple, true}, {"FallTime", s.OverloadWindow, true},
+		{"MaxRetryAfter", s.MaxRetryAfter, false},
+		{"Tick", s.Tick, true},
+		{"AnswerSlack", s.AnswerSlack, false},
+		{"AskWithin", s.ListRefreshInterval, s.ListOnRequest},
+		{"ColdTime", s.SlowStartDuration, false},
+		{"FallMultiple", s.OverloadMultiple, true},
+		{"FallTime", s.OverloadWindow, true},
 		{"OverShareWorth", s.OverQuotaValue, false},
 	} {
 		if !isFinite(field.value) || field.value < 0 || field.positive && field.value == 0 {
@@ -140,16 +146,19 @@
 
 // validate returns an error for the first invalid field.
 func (c *Class) validate(index int) error {
-	invalid := func(field string, v any) error {
-		return fmt.Errorf("loadbalancer: settings: bad Classes[%d].%s: %v", index, field, v)
+	invalid := func(field string, value any) error {
+		return fmt.Errorf("loadbalancer: settings: bad Classes[%d].%s: %v", index, field, value)
 	}
 	for _, field := range []struct {
 		name     string
 		value    float64
 		positive bool
 	}{
-		{"Objective", c.Objective, true}, {"Deadline", c.Deadline, true}, {"Stretch", c.Stretch, false},
-		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated}, {"Worth", c.Value, false},
+		{"Objective", c.Objective, true},
+		{"Deadline", c.Deadline, true},
+		{"Stretch", c.Stretch, false},
+		{"Window", c.DedupWindow, c.RetrySafety == RetryDeduplicated},
+		{"Worth", c.Value, false},
 		{"LateShare", c.LateValueShare, false},
 	} {
 		if !isFinite(field.value) || field.value < 0 || field.positive && field.value == 0 {
--- a/loadbalancer/simulation_test.go
+++ b/loadbalancer/simulation_test.go
@@ -142,7 +142,8 @@
 		machine := plan.kinds[0]
 		kind := 0
 		for mark, sum := (float64(i)+0.5)/float64(plan.workers), 0.0; kind < len(plan.kinds); kind++ {
-			if machine = plan.kinds[kind]; mark < sum+machine.share {
+			machine = plan.kinds[kind]
+			if mark < sum+machine.share {
 				break
 			}
 			sum += machine.share
@@ -163,7 +164,9 @@
 	plan := &sim.plan
 	for me := range plan.instances {
 		instance := &simInstance{sim: sim, number: me, requests: map[RequestID]*simRequest{}, settings: plan.settings}
-		instance.settings.Instances, instance.settings.Instance, instance.settings.Zone = plan.instances, me, me%plan.settings.Zones
+		instance.settings.Instances = plan.instances
+		instance.settings.Instance = me
+		instance.settings.Zone = me % plan.settings.Zones
 		instance.decider = decide(instance.settings, uint64(me)+100*seed, instance)
 		sim.instances = append(sim.instances, instance)
 		sim.at(sim.now, func() {
@@ -236,7 +239,8 @@
 				for _, x := range append(append([]*simAttempt(nil), sim.workers[i].running...), sim.workers[i].waiting...) {
 					sim.end(x, Reset, nil)
 				}
-				sim.workers[i].running, sim.workers[i].waiting = nil, nil
+				sim.workers[i].running = nil
+				sim.workers[i].waiting = nil
 			}
 			for _, instance := range sim.instances {
 				instance.decider.UpdateWorkers(sim.now, ListFull, sim.list())
@@ -483,7 +487,8 @@
 	}
 	offered, earned := 0.0, 0.0
 	for c := range sim.offeredValue {
-		offered, earned = offered+sim.offeredValue[c], earned+sim.earnedValue[c]
+		offered += sim.offeredValue[c]
+		earned += sim.earnedValue[c]
 		byClass = append(byClass, sim.earnedValue[c]/math.Max(sim.offeredValue[c], math.SmallestNonzeroFloat32))
 	}
 	return earned / offered, byClass
@@ -560,9 +565,12 @@
 			}
 		}
 		if best == nil || cost < score {
-			best, score, ties = &worker, cost, 1
+			best = &worker
+			score = cost
+			ties = 1
 		} else if cost == score {
-			if ties++; b.random.IntN(ties) == 0 {
+			ties++
+			if b.random.IntN(ties) == 0 {
 				best = &worker
 			}
 		}
--- a/loadbalancer/snapshot.go
+++ b/loadbalancer/snapshot.go
@@ -102,8 +102,10 @@
 	}
 	copy(b.meanWork, snapshot.WorkByClass)
 	copy(b.zoneLatencies, snapshot.ZoneLatencies)
-	b.meanPace, b.meanRunTime = snapshot.Pace, snapshot.RunTime
-	b.slotsPerJob, b.reportPeriod = snapshot.SlotsPerJob, snapshot.ReportPeriod
+	b.meanPace = snapshot.Pace
+	b.meanRunTime = snapshot.RunTime
+	b.slotsPerJob = snapshot.SlotsPerJob
+	b.reportPeriod = snapshot.ReportPeriod
 	b.plannedAt = snapshot.PlannedAt
 	for number, kind := range snapshot.Kinds {
 		b.kinds[number] = &machineKind{pace: kind.Pace, slots: kind.Slots}
@@ -119,13 +121,20 @@
 	if saved == nil || saved.StartedAt != startedAt {
 		return
 	}
-	worker.reported, worker.reportedAt = saved.Reported, saved.ReportedAt
-	worker.inFlight, worker.utilization = saved.InFlight, saved.Utilization
-	worker.otherJobs, worker.slots = saved.OtherJobs, saved.Slots
-	worker.limits.Load, worker.limits.Utilization = saved.LoadLimit, saved.UtilizationLimit
-	worker.pace, worker.runTime = saved.Pace, saved.RunTime
-	worker.ejection.ErrorRate, worker.ejection.Observed = saved.ErrorRate, saved.Observed
-	worker.ejection.EjectedUntil, worker.ejection.LastDuration = saved.EjectedUntil, saved.EjectionDuration
+	worker.reported = saved.Reported
+	worker.reportedAt = saved.ReportedAt
+	worker.inFlight = saved.InFlight
+	worker.utilization = saved.Utilization
+	worker.otherJobs = saved.OtherJobs
+	worker.slots = saved.Slots
+	worker.limits.Load = saved.LoadLimit
+	worker.limits.Utilization = saved.UtilizationLimit
+	worker.pace = saved.Pace
+	worker.runTime = saved.RunTime
+	worker.ejection.ErrorRate = saved.ErrorRate
+	worker.ejection.Observed = saved.Observed
+	worker.ejection.EjectedUntil = saved.EjectedUntil
+	worker.ejection.LastDuration = saved.EjectionDuration
 	worker.sentSpan = saved.SentSpan
 	copy(worker.sentWork[:], saved.SentWork)
 }
@@ -159,9 +168,22 @@
 
 // isValid reports whether all values are in their ranges.
 func (s *WorkerSnapshot) isValid() bool {
-	return s.Pace != 0 && len(s.SentWork) == len(workerState{}.sentWork) && areValid(s.SentWork) && s.SentSpan >= 0 &&
-		areValid([]float64{s.StartedAt, s.InFlight, s.Utilization, s.ReportedAt, s.OtherJobs, s.Slots, s.LoadLimit,
-			s.UtilizationLimit, s.Pace, s.RunTime, s.ErrorRate, s.EjectedUntil, s.EjectionDuration})
+	isSentWorkValid := len(s.SentWork) == len(workerState{}.sentWork) && areValid(s.SentWork) && s.SentSpan >= 0
+	return isSentWorkValid && s.Pace != 0 && areValid([]float64{
+		s.StartedAt,
+		s.InFlight,
+		s.Utilization,
+		s.ReportedAt,
+		s.OtherJobs,
+		s.Slots,
+		s.LoadLimit,
+		s.UtilizationLimit,
+		s.Pace,
+		s.RunTime,
+		s.ErrorRate,
+		s.EjectedUntil,
+		s.EjectionDuration,
+	})
 }
 
 // areValid reports whether all values are finite and not below 0.
--- a/loadbalancer/snapshot_test.go
+++ b/loadbalancer/snapshot_test.go
@@ -8,74 +8,96 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against a successor that knows nothing, trusts what was learnt of a worker that has restarted since, spends a slow
-// start budget anew, or accepts values that make no sense. One long test, since all its cases need the same snapshot.
-func TestSnapshotIsRestored(t *testing.T) {
-	old := newRecorder(t, testSettings(), 1)
-	old.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.now - 1})...)
+// newLearnedRecorder returns a recorder whose balancer has learnt from 60 requests, of which the last two are in flight.
+// Worker 4 is in slow start.
+func newLearnedRecorder(t *testing.T) *recorder {
+	t.Helper()
+	r := newRecorder(t, testSettings(), 1)
+	r.list(ListFull, append(ready(3), Worker{ID: 4, State: Ready, StartedAt: r.now - 1})...)
 	for i := range 60 {
 		id := RequestID(i + 1)
-		old.request(id, 0, 0.05)
-		old.runTo(old.now + 0.02)
-		for n, a := range old.attempts[id] {
-			old.start(id, n)
-			old.runTo(old.now + 0.03)
-			if i < 58 { // the last two are still out
-				old.outcome(id, n, OK, float32(a.worker), 0.5, 3)
+		r.request(id, 0, 0.05)
+		r.runTo(r.now + 0.02)
+		for n, a := range r.attempts[id] {
+			r.start(id, n)
+			r.runTo(r.now + 0.03)
+			if i < 58 {
+				r.outcome(id, n, OK, float32(a.worker), 0.5, 3)
 			}
 		}
 	}
-	text, err := json.Marshal(old.balancer.Snapshot())
+	return r
+}
+
+// storedSnapshot returns a recorder's snapshot as a successor reads it, from JSON.
+func storedSnapshot(t *testing.T, r *recorder) (snapshot Snapshot) {
+	t.Helper()
+	text, err := json.Marshal(r.balancer.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func() (l Snapshot) {
-		if err := json.Unmarshal(text, &l); err != nil {
-			t.Fatal(err)
-		}
-		return l
+	if err := json.Unmarshal(text, &snapshot); err != nil {
+		t.Fatal(err)
 	}
+	return snapshot
+}
+
+// Guards against a successor that knows nothing, trusts what was learnt of a worker that has restarted since, or spends a
+// slow start budget anew.
+func TestSnapshotIsRestored(t *testing.T) {
+	old := newLearnedRecorder(t)
 	next := newRecorder(t, testSettings(), 2)
 	next.now = old.now
-	if err := next.balancer.Restore(next.now, read()); err != nil {
+	if err := next.balancer.Restore(next.now, storedSnapshot(t, old)); err != nil {
 		t.Fatal(err)
 	}
-	entries := append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.workers[4].StartedAt})
-	entries[2].StartedAt = old.now // restarted
-	next.list(ListFull, entries...)
-	got, want := next.balancer.Snapshot(), read()
-	want.PlannedAt = next.now
+	workers := append(ready(3), Worker{ID: 4, State: Ready, StartedAt: old.workers[4].StartedAt})
+	workers[2].StartedAt = old.now // restarted
+	next.list(ListFull, workers...)
+
 	fresh := newRecorder(t, testSettings(), 2)
 	fresh.now = old.now
 	fresh.balancer.meanPace = next.balancer.meanPace
-	fresh.list(ListFull, entries...)
+	fresh.list(ListFull, workers...)
+	want := storedSnapshot(t, old)
+	want.PlannedAt = next.now
 	want.Workers[3] = fresh.balancer.Snapshot().Workers[3]
-	if diff := cmp.Diff(want, got, cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 0.02 })); diff != "" {
+	isClose := cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 0.02 })
+	if diff := cmp.Diff(want, next.balancer.Snapshot(), isClose); diff != "" {
 		t.Errorf("restored (-want +got):\n%s", diff)
 	}
-	if out := want.Workers[1].OtherJobs + want.Workers[2].OtherJobs + want.Workers[4].OtherJobs; out < 2 {
-		t.Errorf("the jobs that are still out are not among the others': %v", out)
+	inFlight := want.Workers[1].OtherJobs + want.Workers[2].OtherJobs + want.Workers[4].OtherJobs
+	if inFlight < 2 {
+		t.Errorf("the jobs that are still in flight are not among the others': %v", inFlight)
 	}
-	for name, spoil := range map[string]func(l *Snapshot){
-		"another number of classes": func(l *Snapshot) { l.WorkByClass = l.WorkByClass[1:] },
-		"no work":                   func(l *Snapshot) { l.WorkByClass[0] = 0 },
-		"no pace":                   func(l *Snapshot) { l.Pace = 0 },
-		"an endless period":         func(l *Snapshot) { l.ReportPeriod = math.Inf(1) },
-		"a negative load limit":     func(l *Snapshot) { l.Workers[1].LoadLimit = -1 },
-		"a budget of three spans":   func(l *Snapshot) { l.Workers[1].SentWork = l.Workers[1].SentWork[1:] },
-		"a plan of tomorrow":        func(l *Snapshot) { l.PlannedAt = old.now + 1 },
-		"no worker":                 func(l *Snapshot) { l.Workers[1] = nil },
-		"a kind without a pace":     func(l *Snapshot) { l.Kinds[0] = KindSnapshot{} },
+}
+
+// Guards against a successor that accepts values that make no sense, or restores half of a snapshot that has some.
+func TestInvalidSnapshotIsRejected(t *testing.T) {
+	old := newLearnedRecorder(t)
+	for name, spoil := range map[string]func(s *Snapshot){
+		"another number of classes": func(s *Snapshot) { s.WorkByClass = s.WorkByClass[1:] },
+		"no work":                   func(s *Snapshot) { s.WorkByClass[0] = 0 },
+		"no pace":                   func(s *Snapshot) { s.Pace = 0 },
+		"an endless period":         func(s *Snapshot) { s.ReportPeriod = math.Inf(1) },
+		"a negative load limit":     func(s *Snapshot) { s.Workers[1].LoadLimit = -1 },
+		"a budget of three spans":   func(s *Snapshot) { s.Workers[1].SentWork = s.Workers[1].SentWork[1:] },
+		"a plan of tomorrow":        func(s *Snapshot) { s.PlannedAt = old.now + 1 },
+		"no worker":                 func(s *Snapshot) { s.Workers[1] = nil },
+		"a kind without a pace":     func(s *Snapshot) { s.Kinds[0] = KindSnapshot{} },
 	} {
-		bad, cold := read(), newRecorder(t, testSettings(), 2)
-		spoil(&bad)
-		before := cold.balancer.Snapshot()
-		if err := cold.balancer.Restore(old.now, bad); err == nil {
-			t.Errorf("%s: accepted", name)
-		}
-		if diff := cmp.Diff(before, cold.balancer.Snapshot()); diff != "" {
-			t.Errorf("%s: half of it was restored:\n%s", name, diff)
-		}
+		t.Run(name, func(t *testing.T) {
+			invalid := storedSnapshot(t, old)
+			spoil(&invalid)
+			successor := newRecorder(t, testSettings(), 2)
+			before := successor.balancer.Snapshot()
+			if err := successor.balancer.Restore(old.now, invalid); err == nil {
+				t.Error("accepted")
+			}
+			if diff := cmp.Diff(before, successor.balancer.Snapshot()); diff != "" {
+				t.Errorf("half of it was restored:\n%s", diff)
+			}
+		})
 	}
 }
 
@@ -101,13 +123,18 @@
 	r := newRecorder(t, testSettings(), 1)
 	r.list(ListFull, ready(2)...)
 	slow, quick := r.balancer.workersByID[1], r.balancer.workersByID[2]
-	slow.slots, slow.spareSlots, slow.runTime = 2, 0.5, 5
-	quick.slots, quick.spareSlots, quick.runTime = 2, 0, 0.05
+	slow.slots = 2
+	slow.spareSlots = 0.5
+	slow.runTime = 5
+	quick.slots = 2
+	quick.spareSlots = 0
+	quick.runTime = 0.05
 	r.request(1, 0, 0.05)
 	if len(r.sends) != 1 || r.sends[0].worker != 2 {
 		t.Errorf("sends %v, rejected %v; want worker 2", r.sends, r.rejected)
 	}
-	quick.spareSlots, quick.runTime = -20, 5 // it would start late, too
+	quick.spareSlots = -20
+	quick.runTime = 5 // it would start late, too
 	r.request(2, 0, 0.05)
 	if !r.rejected[2] {
 		t.Errorf("sends %v; want a rejection", r.sends)
@@ -126,7 +153,8 @@
 		for id, w := range r.balancer.workersByID {
 			w.runTime = 0.4
 			if r.balancer.learnReport(r.now, w, []float32{0, 0, 4}); id <= 4 {
-				w.otherJobs, w.inFlight = 66, 66
+				w.otherJobs = 66
+				w.inFlight = 66
 			}
 		}
 		r.balancer.meanRunTime = 0.4
--- a/loadbalancer/worker.go
+++ b/loadbalancer/worker.go
@@ -88,7 +88,8 @@
 // markDeparted records that the worker is no longer listed, and since when.
 func (w *workerState) markDeparted(now float64) {
 	if w.State != Departed || w.departedAt == 0 {
-		w.State, w.departedAt = Departed, now
+		w.State = Departed
+		w.departedAt = now
 	}
 }
 
--- a/loadbalancer/workers.go
+++ b/loadbalancer/workers.go
@@ -17,38 +17,51 @@
 		b.actions.Log("list: a call failed or the watch broke; asking again")
 		return
 	}
-	b.watching, b.watchInterval = kind != ListCached, b.ListRefreshInterval/watchesPerRefresh
+	b.watching = kind != ListCached
+	b.watchInterval = b.ListRefreshInterval / watchesPerRefresh
 	if kind != ListDelta {
 		for _, known := range b.workers {
 			known.markDeparted(now)
 		}
 	}
 	for _, entry := range entries {
-		known := b.workersByID[entry.ID]
-		if known == nil {
-			known = &workerState{pace: b.meanPace, limits: capacity.InitialLimits(0)}
-			b.workersByID[entry.ID] = known
-			b.workers = append(b.workers, known)
-			known.ID = entry.ID
-			b.restoreWorker(known, entry.StartedAt)
-		} else if entry.State == Ready && entry.StartedAt > known.StartedAt {
-			// Restarted: what was learnt of its load is void.
-			known.reported, known.otherJobs, known.limits.Overloads = false, 0, 0
-			known.ejection.ErrorRate, known.ejection.EjectedUntil = 0, 0
-		}
-		if !isFinite(entry.StartedAt) {
-			entry.StartedAt = now
-		}
-		if entry.State == Departed {
-			known.markDeparted(now)
-		}
-		known.Worker = entry
+		b.applyEntry(now, entry)
 	}
 	b.pruneDeparted(now)
 	b.chooseView(now)
 	b.rebuildPlan(now)
 }
 
+// applyEntry applies an entry of the list: it adds the worker, or changes it.
+func (b *Balancer) applyEntry(now float64, entry Worker) {
+	worker := b.workersByID[entry.ID]
+	if worker == nil {
+		worker = &workerState{pace: b.meanPace, limits: capacity.InitialLimits(0)}
+		b.workersByID[entry.ID] = worker
+		b.workers = append(b.workers, worker)
+		worker.ID = entry.ID
+		b.restoreWorker(worker, entry.StartedAt)
+	} else if entry.State == Ready && entry.StartedAt > worker.StartedAt {
+		worker.forgetLoad()
+	}
+	if !isFinite(entry.StartedAt) {
+		entry.StartedAt = now
+	}
+	if entry.State == Departed {
+		worker.markDeparted(now)
+	}
+	worker.Worker = entry
+}
+
+// forgetLoad drops what was learnt of the load and the failures of a worker that has restarted.
+func (w *workerState) forgetLoad() {
+	w.reported = false
+	w.otherJobs = 0
+	w.limits.Overloads = 0
+	w.ejection.ErrorRate = 0
+	w.ejection.EjectedUntil = 0
+}
+
 // renewWatch asks again for a watch that failed, less often after each failure but within
 // ListRefreshInterval.
 func (b *Balancer) renewWatch(now float64) {
