--- a/internal/dispatcher/admission/limiter.go
+++ b/internal/dispatcher/admission/limiter.go
@@ -81,7 +81,8 @@
 // Unregister ends what Admit or Register began.
 func (l *Limiter) Unregister(source netip.Addr) {
 	l.connections--
-	if l.bySource[source]--; l.bySource[source] == 0 {
+	l.bySource[source]--
+	if l.bySource[source] == 0 {
 		delete(l.bySource, source)
 	}
 }
--- a/internal/dispatcher/cluster/auditlog/auditor_test.go
+++ b/internal/dispatcher/cluster/auditlog/auditor_test.go
@@ -214,7 +214,10 @@
 			s.send(m[1], "w0")
 		}
 		s.run(1)
-		m[2].withoutDiscovery, m[3].withoutDiscovery, m[4].withoutDiscovery, m[5].withoutDiscovery = true, true, true, true
+		m[2].withoutDiscovery = true
+		m[3].withoutDiscovery = true
+		m[4].withoutDiscovery = true
+		m[5].withoutDiscovery = true
 		slept := s.now
 		s.add(m[3], 0, Entry{Kind: DiscoverySilent})
 		s.sendList("w1", "draining") // 2
@@ -311,7 +314,8 @@
 		`"tries":[{"node":"w0","sent_ms":0,"result":"ok"}]}`)
 	a.generation = "later"
 	s.send(a, "w0")
-	a.generation, a.number = "l0", 77
+	a.generation = "l0"
+	a.number = 77
 	s.send(a, "w0")
 	r := s.audit(t, func(int, error) {})
 	text := strings.Join(r.Inconclusive, "\n")
@@ -335,7 +339,8 @@
 	s.members = append(slices.Clone(s.members), s.members[2], s.members[0])
 	slices.Reverse(s.members)
 	twice := s.audit(t, failOnBadLine(t))
-	twice.Attempts, twice.Judged = once.Attempts, once.Judged
+	twice.Attempts = once.Attempts
+	twice.Judged = once.Judged
 	x, _ := json.Marshal(once)
 	y, _ := json.Marshal(twice)
 	if !bytes.Equal(x, y) {
--- a/internal/dispatcher/cluster/auditlog/read.go
+++ b/internal/dispatcher/cluster/auditlog/read.go
@@ -43,7 +43,8 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("ledger: line %d: %w", number, err)
 		}
-		if text = bytes.TrimSpace(text); len(text) > 0 {
+		text = bytes.TrimSpace(text)
+		if len(text) > 0 {
 			if err := parseLine(text, entry, send); err != nil {
 				if !complete {
 					err = fmt.Errorf("cut off: %w", err)
--- a/internal/dispatcher/cluster/cluster.go
+++ b/internal/dispatcher/cluster/cluster.go
@@ -66,7 +66,8 @@
 	})
 	options.Versions.SameZone = func(member string) bool { return c.node.Zone(member) == options.Metadata.Zone }
 	c.calculator = quota.New(options.Quota)
-	options.Versions.Lease.ProbeInterval, options.Versions.Lease.Term = options.ProbeInterval, options.LeaseTerm
+	options.Versions.Lease.ProbeInterval = options.ProbeInterval
+	options.Versions.Lease.Term = options.LeaseTerm
 	c.updateShare()
 	if c.socket == nil {
 		c.retryBind()
@@ -135,7 +136,8 @@
 		c.socket = nil
 	}
 	c.waiting = true
-	c.share.Fraction, c.share.Reason = quota.CautiousFraction, quota.CutOff // the next process has the share
+	c.share.Fraction = quota.CautiousFraction // the next process has the share
+	c.share.Reason = quota.CutOff
 	c.onShare(c.share)
 }
 
@@ -154,7 +156,8 @@
 
 // UpdateOptions applies other seeds and another configuration of shares.
 func (c *Cluster) UpdateOptions(options Options) {
-	c.options.Quota, c.calculator.Config = options.Quota, options.Quota
+	c.options.Quota = options.Quota
+	c.calculator.Config = options.Quota
 	if !slices.Equal(c.options.Seeds, options.Seeds) {
 		c.options.Seeds = options.Seeds
 		c.node.SetSeeds(c.loop.Now(), options.Seeds)
@@ -169,7 +172,8 @@
 func (c *Cluster) Release() *eventloop.UDPSocket {
 	c.Leave()
 	socket := c.socket
-	c.socket, c.closed = nil, true
+	c.socket = nil
+	c.closed = true
 	c.timer.Stop()
 	c.loop.OnLateWakeup = nil
 	return socket
--- a/internal/dispatcher/cluster/jobreplica/availability_test.go
+++ b/internal/dispatcher/cluster/jobreplica/availability_test.go
@@ -16,7 +16,9 @@
 	sim := newSimulation(seed, 5, 3)
 	sim.idle = true
 	sim.runUntil(sim.now + 3)
-	start, lastTaken, longest := sim.now, sim.now, 0.0
+	start := sim.now
+	lastTaken := sim.now
+	longest := 0.0
 	for i := 0; sim.now < start+15; i++ {
 		if sim.now >= start+5 && happens != nil {
 			happens(sim)
@@ -99,7 +101,8 @@
 	host := sim.leader()
 	host.paused = true
 	sim.runUntil(sim.now + 60)
-	host.paused, host.heldDatagrams = false, nil // what came meanwhile is lost
+	host.paused = false
+	host.heldDatagrams = nil // those received meanwhile are lost
 	host.replica.Tick(sim.now)
 	if host.replica.IsLeader() {
 		t.Error("still leader after a pause of 60 s")
--- a/internal/dispatcher/cluster/jobreplica/benchmark_test.go
+++ b/internal/dispatcher/cluster/jobreplica/benchmark_test.go
@@ -26,7 +26,8 @@
 	limits := jobstate.Limits{TotalBytes: 1 << 30, TenantBytes: 1 << 30, JobBytes: 1 << 20, ResultRetentionMS: 1000}
 	for _, member := range cluster.members {
 		options := newOptions(member, member.ID, replicas, &plantedStateMachine{jobstate.New(limits), &simulation{}})
-		options.ReplaceAfter, options.CompactionThreshold = 30, 1<<20
+		options.ReplaceAfter = 30
+		options.CompactionThreshold = 1 << 20
 		cluster.byID[member.ID] = jobreplica.New(cluster.now, options)
 		cluster.fragmenters[member.ID] = jobreplica.NewFragmenter("test", member.ID, 1<<20)
 		if err := cluster.byID[member.ID].Bootstrap(cluster.members); err != nil {
@@ -46,7 +47,8 @@
 			for _, message := range outgoing {
 				for _, datagram := range c.fragmenters[member.ID].Fragment(message) {
 					moved = true
-					c.datagrams, c.bytes = c.datagrams+1, c.bytes+len(datagram)
+					c.datagrams++
+					c.bytes += len(datagram)
 					c.receive(b, message.To, datagram)
 				}
 			}
@@ -89,7 +91,8 @@
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			cluster := newBenchmarkCluster(b, replicas)
 			leader := cluster.electLeader(b)
-			cluster.datagrams, cluster.bytes = 0, 0
+			cluster.datagrams = 0
+			cluster.bytes = 0
 			b.ReportAllocs()
 			committed := 0
 			for ; b.Loop(); committed++ {
--- a/internal/dispatcher/cluster/jobreplica/envelope.go
+++ b/internal/dispatcher/cluster/jobreplica/envelope.go
@@ -100,6 +100,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errMalformedEnvelope, err)
 	}
-	e.from, e.to = uint64(e.message.From), uint64(e.message.To)
+	e.from = uint64(e.message.From)
+	e.to = uint64(e.message.To)
 	return nil
 }
--- a/internal/dispatcher/cluster/jobreplica/export_test.go
+++ b/internal/dispatcher/cluster/jobreplica/export_test.go
@@ -22,7 +22,8 @@
 	other.Cluster = "another"
 	add("fleet", other)
 	other = original
-	other.Index, other.Count = 1, 3
+	other.Index = 1
+	other.Count = 3
 	add("page", other)
 	other = original
 	other.Data = original.Data[:len(original.Data)/2]
--- a/internal/dispatcher/cluster/jobreplica/fragmenter.go
+++ b/internal/dispatcher/cluster/jobreplica/fragmenter.go
@@ -212,7 +212,8 @@
 			remaining = append(remaining, other)
 		}
 	}
-	if f.partials[from] = remaining; len(remaining) == 0 {
+	f.partials[from] = remaining
+	if len(remaining) == 0 {
 		delete(f.partials, from)
 	}
 }
--- a/internal/dispatcher/cluster/jobreplica/member_test.go
+++ b/internal/dispatcher/cluster/jobreplica/member_test.go
@@ -25,7 +25,8 @@
 	}
 	zones, hosts := map[string]bool{}, map[string]bool{}
 	for _, m := range chosen {
-		zones[m.Zone], hosts[m.Host] = true, true
+		zones[m.Zone] = true
+		hosts[m.Host] = true
 	}
 	if len(zones) != 3 || len(hosts) != 3 {
 		t.Errorf("%v", chosen)
--- a/internal/dispatcher/cluster/jobreplica/propose.go
+++ b/internal/dispatcher/cluster/jobreplica/propose.go
@@ -56,7 +56,8 @@
 		return err
 	}
 	if r.uncommittedTerm != r.hardState.Term {
-		r.uncommittedTerm, r.uncommittedBytes = r.hardState.Term, 0
+		r.uncommittedTerm = r.hardState.Term
+		r.uncommittedBytes = 0
 	}
 	if r.uncommittedBytes+len(command) > maxUncommittedBytes {
 		return r.noMajorityError()
--- a/internal/dispatcher/cluster/jobreplica/replacement.go
+++ b/internal/dispatcher/cluster/jobreplica/replacement.go
@@ -61,7 +61,8 @@
 	longest := r.options.ReplaceAfter
 	for _, m := range voters {
 		if silence := r.secondsSinceContact(status, m.ID); silence > longest || silence == longest && lost == 0 {
-			lost, longest = m.ID, silence
+			lost = m.ID
+			longest = silence
 		}
 	}
 	return lost
--- a/internal/dispatcher/cluster/jobreplica/replica.go
+++ b/internal/dispatcher/cluster/jobreplica/replica.go
@@ -85,13 +85,16 @@
 // startNode starts the consensus node.
 func (r *Replica) startNode(persistent consensus.PersistentState) {
 	r.node = consensus.New(secondsToDuration(r.now), r.options.consensusConfig(), persistent)
-	r.hardState, r.appliedIndex = persistent.HardState, persistent.Snapshot.Index
+	r.hardState = persistent.HardState
+	r.appliedIndex = persistent.Snapshot.Index
 	r.leaderSeenAt = r.now
 }
 
 // stop ends this replica for good.
 func (r *Replica) stop(reason string, cause error) {
-	r.stopped, r.node, r.outgoing = &StoppedError{reason, cause}, nil, nil
+	r.stopped = &StoppedError{reason, cause}
+	r.node = nil
+	r.outgoing = nil
 }
 
 // Tick advances the time to now.
--- a/internal/dispatcher/cluster/jobreplica/simulation_check_test.go
+++ b/internal/dispatcher/cluster/jobreplica/simulation_check_test.go
@@ -9,7 +9,8 @@
 
 // finishAndCheck ends all faults, waits until every job has ended, and checks what must hold then.
 func (sim *simulation) finishAndCheck() error {
-	sim.dropRate, sim.partitioned = 0, nil
+	sim.dropRate = 0
+	sim.partitioned = nil
 	for _, host := range sim.hosts {
 		if host.paused {
 			sim.resume(host)
--- a/internal/dispatcher/cluster/jobreplica/simulation_test.go
+++ b/internal/dispatcher/cluster/jobreplica/simulation_test.go
@@ -137,7 +137,8 @@
 
 // startHost starts a new process, which knows nothing of the one before.
 func (sim *simulation) startHost(host *simulatedHost) {
-	if sim.lastIncarnation++; !sim.reuseIncarnation || host.member.ID == 0 {
+	sim.lastIncarnation++
+	if !sim.reuseIncarnation || host.member.ID == 0 {
 		host.member = jobreplica.Member{
 			ID:   sim.lastIncarnation,
 			Name: fmt.Sprintf("m%02d", host.index),
@@ -149,7 +150,8 @@
 	host.state = jobstate.New(stateLimits)
 	host.fragmenter = jobreplica.NewFragmenter("test", host.member.ID, 1<<20)
 	host.pendingSubmits = map[string]jobstate.Command{}
-	host.heldDatagrams, host.paused = nil, false
+	host.heldDatagrams = nil
+	host.paused = false
 	stateMachine := &plantedStateMachine{host.state, sim}
 	host.replica = jobreplica.New(sim.now, newOptions(host.member, sim.lastIncarnation, sim.replicaCount, stateMachine))
 	generation := host.generation
@@ -174,7 +176,9 @@
 }
 
 func (sim *simulation) kill(host *simulatedHost) {
-	host.replica, host.paused, host.heldDatagrams = nil, false, nil
+	host.replica = nil
+	host.paused = false
+	host.heldDatagrams = nil
 	host.generation++
 }
 
--- a/internal/dispatcher/cluster/jobstate/job.go
+++ b/internal/dispatcher/cluster/jobstate/job.go
@@ -68,7 +68,11 @@
 }
 
 // requeue has the job wait for another send.
-func (j *Job) requeue() { j.State, j.Owner, j.Worker = Waiting, "", "" }
+func (j *Job) requeue() {
+	j.State = Waiting
+	j.Owner = ""
+	j.Worker = ""
+}
 
 // fencedError is the answer to a command that was proposed under another fencing token than the job's.
 func (j *Job) fencedError(command *Command) error {
--- a/internal/dispatcher/cluster/jobstate/snapshot.go
+++ b/internal/dispatcher/cluster/jobstate/snapshot.go
@@ -48,7 +48,8 @@
 		return &DecodeError{"snapshot", image.FormatVersion, errUnsupportedVersion}
 	}
 	fresh := New(s.Limits)
-	fresh.nowMS, fresh.endedIDs = image.NowMS, image.EndedIDs
+	fresh.nowMS = image.NowMS
+	fresh.endedIDs = image.EndedIDs
 	for _, job := range image.Jobs {
 		if job == nil || job.ID == 0 || fresh.jobs[job.ID] != nil || job.State < Waiting || job.State > Unknown {
 			return &DecodeError{"snapshot", image.FormatVersion, errInvalidJob}
--- a/internal/dispatcher/cluster/jobstate/state.go
+++ b/internal/dispatcher/cluster/jobstate/state.go
@@ -175,10 +175,13 @@
 		return err
 	}
 	if job.FirstSentMS == 0 {
-		job.FirstSentMS, job.WorkerGroup = max(s.nowMS, 1), command.WorkerGroup
+		job.FirstSentMS = max(s.nowMS, 1)
+		job.WorkerGroup = command.WorkerGroup
 	}
 	job.FencingToken++
-	job.State, job.Owner, job.Worker = Sent, command.Proposer, command.Worker
+	job.State = Sent
+	job.Owner = command.Proposer
+	job.Worker = command.Worker
 	return nil
 }
 
@@ -193,7 +196,8 @@
 	case command.NotRun:
 		job.requeue()
 		if job.FencingToken == 1 { // the only send has not run
-			job.FirstSentMS, job.WorkerGroup = 0, ""
+			job.FirstSentMS = 0
+			job.WorkerGroup = ""
 		}
 		return nil
 	}
@@ -224,7 +228,9 @@
 	if limit := s.JobBytes - jobOverheadBytes; len(result) > limit {
 		result = result[:limit]
 	}
-	job.Data, job.Result, job.EndedMS = nil, result, s.nowMS
+	job.Data = nil
+	job.Result = result
+	job.EndedMS = s.nowMS
 	s.endedIDs = append(s.endedIDs, job.ID)
 }
 
@@ -251,7 +257,8 @@
 func (s *State) removeUsage(job *Job) {
 	s.digest ^= hash(job)
 	s.usedBytes -= job.sizeBytes()
-	if s.tenantBytes[job.Tenant] -= job.sizeBytes(); s.tenantBytes[job.Tenant] == 0 {
+	s.tenantBytes[job.Tenant] -= job.sizeBytes()
+	if s.tenantBytes[job.Tenant] == 0 {
 		delete(s.tenantBytes, job.Tenant)
 	}
 }
--- a/internal/dispatcher/cluster/jobstate/state_test.go
+++ b/internal/dispatcher/cluster/jobstate/state_test.go
@@ -22,7 +22,8 @@
 	case CommandSubmit:
 		command.Tenant = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "tenant")
 		command.Key = fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key"))
-		command.Effect, command.DeduplicationWindowMS = Effect(rapid.IntRange(0, 2).Draw(t, "effect")), 3000
+		command.Effect = Effect(rapid.IntRange(0, 2).Draw(t, "effect"))
+		command.DeduplicationWindowMS = 3000
 		command.Data = make([]byte, rapid.IntRange(0, 5000).Draw(t, "bytes"))
 	case CommandSend, CommandEnd, CommandAbandon:
 		command.ID = uint64(rapid.IntRange(1, 60).Draw(t, "id"))
--- a/internal/dispatcher/cluster/quota/calculator.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -103,7 +103,8 @@
 	for i := range view.Members {
 		switch member := &view.Members[i]; member.State {
 		case membership.Alive:
-			known, alive = known+1, alive+1
+			known++
+			alive++
 		case membership.Suspect, membership.Dead:
 			known++
 		}
@@ -111,9 +112,11 @@
 	share := Share{Fraction: 1, Reason: Full}
 	switch {
 	case view.Withdrawn || view.Left || 2*alive < known:
-		share.Fraction, share.Reason = CautiousFraction, CutOff
+		share.Fraction = CautiousFraction
+		share.Reason = CutOff
 	case !view.Recognized, len(view.Members) < c.Config.Instances && now < view.JoinedAt+joinProbeIntervals*c.Config.ProbeInterval:
-		share.Fraction, share.Reason = CautiousFraction, Unrecognized
+		share.Fraction = CautiousFraction
+		share.Reason = Unrecognized
 	case 2*alive == known:
 		share.Reason = Waiting
 	}
@@ -140,7 +143,8 @@
 		return share
 	}
 	if !c.Config.AllMembers { // dispatchers that are no members count as well, and do not use keys
-		configured.Fraction, configured.Reason = share.Fraction, Partial
+		configured.Fraction = share.Fraction
+		configured.Reason = Partial
 		return configured
 	}
 	if share.Fraction < 1 { // there may be as many unknown members as are configured
--- a/internal/dispatcher/cluster/quota/calculator_test.go
+++ b/internal/dispatcher/cluster/quota/calculator_test.go
@@ -103,7 +103,8 @@
 	// what it bears by its state at the start of the span, when it was coldest
 	warmth := min(1, 0.34+0.66*max(0, s.sends[0]-s.startedAt)/9)
 	if share := work * float64(len(s.sends)) / (3 * warmth * 2); share > s.worst {
-		s.worst, s.worstAt = share, now
+		s.worst = share
+		s.worstAt = now
 	}
 }
 
@@ -208,7 +209,8 @@
 func (c *testCluster) step() {
 	now := c.net.Now
 	if now >= c.load.startedAt+9 {
-		c.load.startedAt, c.load.sends = now, nil
+		c.load.startedAt = now
+		c.load.sends = nil
 		for _, d := range c.list {
 			if d.node.Membership != nil {
 				d.balancer.UpdateWorkers(now, loadbalancer.ListDelta, []loadbalancer.Worker{{
--- a/internal/dispatcher/cluster/share.go
+++ b/internal/dispatcher/cluster/share.go
@@ -8,7 +8,8 @@
 
 // updateShare computes the lease and the share, and reports a change of the share.
 func (c *Cluster) updateShare() {
-	c.shareAt, c.recognized = c.loop.Now(), c.node.Recognized()
+	c.shareAt = c.loop.Now()
+	c.recognized = c.node.Recognized()
 	view := c.node.View()
 	c.updateLease(&view)
 	share := c.calculator.Share(c.loop.Now(), &view)
--- a/internal/dispatcher/cluster/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -121,7 +121,9 @@
 		VersionMS:   map[string]int64{},
 	}
 	if metadata := member.Metadata; metadata != nil {
-		status.Zone, status.Serving, status.Console = metadata.Zone, metadata.Serving, metadata.Console
+		status.Zone = metadata.Zone
+		status.Serving = metadata.Serving
+		status.Console = metadata.Console
 		for name, version := range map[string]string{
 			"program":  metadata.Version,
 			"settings": metadata.SettingsHash,
@@ -148,9 +150,11 @@
 		status.State = excludedState
 	}
 	if peer, known := c.options.Versions.Peers()[member.Name]; known && member.State != membership.Left {
-		status.ListVersion, status.ListVersionMS = &peer.Version, int64(peer.VersionSince*1000)
+		status.ListVersion = &peer.Version
+		status.ListVersionMS = int64(peer.VersionSince * 1000)
 	} else if version, has := c.options.Versions.Version(); has && member.Self {
-		status.ListVersion, status.ListVersionMS = &version, int64(c.options.Versions.VersionSince()*1000)
+		status.ListVersion = &version
+		status.ListVersionMS = int64(c.options.Versions.VersionSince() * 1000)
 	}
 	return status
 }
--- a/internal/dispatcher/cluster/transport.go
+++ b/internal/dispatcher/cluster/transport.go
@@ -58,7 +58,8 @@
 		c.timer = c.loop.At(c.loop.Now()+bindRetryInterval, c.retryBind)
 		return
 	}
-	c.waiting, c.socket = false, socket
+	c.waiting = false
+	c.socket = socket
 	c.join()
 }
 
@@ -166,7 +167,8 @@
 	if c.Drops == c.loggedDrops || c.loop.Now() < c.dropsLoggedAt+dropsLogInterval {
 		return
 	}
-	c.dropsLoggedAt, c.loggedDrops = c.loop.Now(), c.Drops
+	c.dropsLoggedAt = c.loop.Now()
+	c.loggedDrops = c.Drops
 	fields := []zap.Field{}
 	for i, n := range c.Drops {
 		fields = append(fields, zap.Uint64(DropNames[i], n))
--- a/internal/dispatcher/cluster/versions/confirmation.go
+++ b/internal/dispatcher/cluster/versions/confirmation.go
@@ -17,13 +17,16 @@
 
 // ExpireUpdates records that all updates received before now are outdated, because the process was paused.
 func (t *Table) ExpireUpdates(now float64) {
-	t.lastConfirmed, t.directUpdate = min(t.lastConfirmed, now-expiredAge), false
+	t.lastConfirmed = min(t.lastConfirmed, now-expiredAge)
+	t.directUpdate = false
 }
 
 // confirmByDiscovery records a contact with the own discovery. A stale list confirms nothing.
 func (t *Table) confirmByDiscovery(now float64) {
-	if t.directUpdate = t.completeUpTo() >= t.confirmedRevision(); t.directUpdate {
-		t.lastConfirmed, t.updateStamp = now, max(t.updateStamp, uint64(now*stampsPerSecond))
+	t.directUpdate = t.completeUpTo() >= t.confirmedRevision()
+	if t.directUpdate {
+		t.lastConfirmed = now
+		t.updateStamp = max(t.updateStamp, uint64(now*stampsPerSecond))
 	}
 }
 
@@ -34,11 +37,14 @@
 		return
 	}
 	if msg.UpdateStamp > peer.updateStamp {
-		peer.updateStamp, peer.LastUpdate, peer.DirectUpdate = msg.UpdateStamp, now, msg.DirectUpdate
+		peer.updateStamp = msg.UpdateStamp
+		peer.LastUpdate = now
+		peer.DirectUpdate = msg.DirectUpdate
 	}
 	if _, ok := t.version.Lag(msg.Version); t.hasVersion && ok && msg.UpdateStamp > t.updateStamp &&
 		max(msg.CompleteUpTo, msg.Version.Revision) <= t.completeUpTo() {
-		t.lastConfirmed, t.updateStamp = now, msg.UpdateStamp
+		t.lastConfirmed = now
+		t.updateStamp = msg.UpdateStamp
 	}
 }
 
--- a/internal/dispatcher/cluster/versions/confirmation_test.go
+++ b/internal/dispatcher/cluster/versions/confirmation_test.go
@@ -12,7 +12,9 @@
 
 // TestUpdateCountsOnce checks that an update of discovery that is forwarded in circles renews nothing.
 func TestUpdateCountsOnce(t *testing.T) {
-	a, table, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
+	a := newTestTable("a", 5, "x")
+	table := newTestTable("b", 5, "x")
+	c := newTestTable("c", 5, "x")
 	a.HandleDiscoveryContact(100)
 	exchange(100, a, table)
 	if table.LastConfirmed() != 100 {
@@ -38,7 +40,9 @@
 // TestUpdateConfirmsCompleteState checks that an update counts only if all that its sender knows is known here, and
 // that a stale discovery confirms nothing to a member that two others have told better.
 func TestUpdateConfirmsCompleteState(t *testing.T) {
-	a, table, c := newTestTable("a", 5, "x", "y"), newTestTable("b", 5, "x", "y"), newTestTable("c", 5, "x", "y")
+	a := newTestTable("a", 5, "x", "y")
+	table := newTestTable("b", 5, "x", "y")
+	c := newTestTable("c", 5, "x", "y")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
 	table.HandlePayload(20, "a", table.encodePayload(a.newPayload(20))) // without the fact
 	if table.LastConfirmed() >= 20 {
@@ -66,7 +70,9 @@
 // TestStaleDiscoveryDoesNotOverridePeers checks that a stale discovery does not cast doubt on what two others' lists
 // have.
 func TestStaleDiscoveryDoesNotOverridePeers(t *testing.T) {
-	a, c, table := newTestTable("a", 5, "x"), newTestTable("c", 5, "x"), newTestTable("b", 5, "x")
+	a := newTestTable("a", 5, "x")
+	c := newTestTable("c", 5, "x")
+	table := newTestTable("b", 5, "x")
 	a.ApplyList(20, src, 6, false, entries(Draining, "x"))
 	c.ApplyList(20, src, 6, false, entries(Draining, "x"))
 	exchange(20, a, table)
@@ -81,7 +87,9 @@
 // TestForgedUpdates checks that stamps far ahead are ignored, and that stamps a little ahead do not keep the own
 // discovery from renewing the lease.
 func TestForgedUpdates(t *testing.T) {
-	a, table, c := newTestTable("a", 5, "x"), newTestTable("b", 5, "x"), newTestTable("c", 5, "x")
+	a := newTestTable("a", 5, "x")
+	table := newTestTable("b", 5, "x")
+	c := newTestTable("c", 5, "x")
 	table.HandlePayload(100, "liar", table.encodePayload(&payload{Version: Version{src, 0, 5}, UpdateStamp: math.MaxUint64 / 2}))
 	a.HandleDiscoveryContact(101)
 	exchange(101, a, table)
@@ -116,7 +124,9 @@
 // first, and that a member that missed it learns of it by the digest.
 func TestOrders(t *testing.T) {
 	names := []string{"a", "b", "c"}
-	a, table, c := New("a"), newTestTable("b", 5), newTestTable("c", 5)
+	a := New("a")
+	table := newTestTable("b", 5)
+	c := newTestTable("c", 5)
 	if err := a.IssueOrder(10, viewOf("a", names...), "nobody", true); err == nil {
 		t.Error("an order for nobody")
 	}
--- a/internal/dispatcher/cluster/versions/event.go
+++ b/internal/dispatcher/cluster/versions/event.go
@@ -41,7 +41,8 @@
 	isQuicker := lead < peer.clockLead-minClockImprovement
 	isExpired := now > peer.clockLeadAt+clockLeadTTL
 	if isFirst || isQuicker || isExpired {
-		peer.clockLead, peer.clockLeadAt = lead, now
+		peer.clockLead = lead
+		peer.clockLeadAt = now
 		t.OnEvent(now, &Event{Kind: ClockReceived, From: from, PeerClock: peerClock})
 	}
 }
--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -20,7 +20,8 @@
 		room -= msg.Orders[i].maxEncodedSize()
 	}
 	if now >= t.clockSentAt+clockInterval {
-		t.clockSentAt, msg.Clock = now, now
+		t.clockSentAt = now
+		msg.Clock = now
 	}
 	if t.pendingFacts > 0 {
 		msg.Facts = t.selectFacts(func(f *fact) bool { return f.transmits < maxTransmits && !f.doubted })
@@ -154,14 +155,16 @@
 		if theirs > t.completeUpTo() {
 			t.OnEvent(now, &Event{Kind: CaughtUp, From: from, Version: Version{t.version.Source, t.version.Epoch, theirs}})
 		}
-		t.caughtUpTo, t.caughtUpAt = max(t.caughtUpTo, theirs), now
+		t.caughtUpTo = max(t.caughtUpTo, theirs)
+		t.caughtUpAt = now
 	}
 }
 
 // allowReply counts a request, and reports whether it is to be answered.
 func (t *Table) allowReply(now float64) bool {
 	if now >= t.replyWindowStart+replyWindow {
-		t.replyWindowStart, t.repliesInWindow = now, 0
+		t.replyWindowStart = now
+		t.repliesInWindow = 0
 	}
 	t.repliesInWindow++
 	return t.repliesInWindow <= maxRepliesPerWindow
@@ -181,7 +184,8 @@
 	began := now - float64(msg.EpochAge)
 	if t.hasVersion && msg.Version.Source == t.version.Source && msg.Version.Epoch > t.version.Epoch &&
 		t.firstLiveAt > began+1 && msg.EpochAge > 0 {
-		t.version.Epoch, t.epochStart = msg.Version.Epoch, began
+		t.version.Epoch = msg.Version.Epoch
+		t.epochStart = began
 		t.epochs[t.version.Source] = max(t.epochs[t.version.Source], t.version.Epoch)
 		t.dropFacts()
 		t.updateRestrictions()
@@ -236,9 +240,11 @@
 	for range maxReplyPages {
 		count := fitFacts(all, t.replyRoom())
 		msg := t.newPayload(now)
-		msg.Facts, msg.FactCount = all[:count], total+1
+		msg.Facts = all[:count]
+		msg.FactCount = total + 1
 		pages = append(pages, t.encodePayload(msg))
-		if all = all[count:]; len(all) == 0 {
+		all = all[count:]
+		if len(all) == 0 {
 			break
 		}
 	}
--- a/internal/dispatcher/cluster/versions/faults_test.go
+++ b/internal/dispatcher/cluster/versions/faults_test.go
@@ -37,7 +37,8 @@
 		best := map[[2]string]float64{}
 		net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
 			table, by := versions.New(node.Name), 4*rng.Float64()-2
-			tables[node], skews[node.Name] = table, by
+			tables[node] = table
+			skews[node.Name] = by
 			table.ApplyList(net.Now+by, src, 5, false, nil)
 			table.OnEvent = func(now float64, n *versions.Event) {
 				if n.Kind == versions.ClockReceived {
@@ -74,9 +75,13 @@
 // TestManyStragglers has most members be paused while workers of a large list drain. Afterwards all of them send
 // requests at once, are answered by many peers, and none of these has to answer all.
 func TestManyStragglers(t *testing.T) {
-	n, workers, drains := 24, 2000, 300
+	n := 24
+	workers := 2000
+	drains := 300
 	if *large {
-		n, workers, drains = 120, 10000, 900
+		n = 120
+		workers = 10000
+		drains = 900
 	}
 	var all, drained []versions.Entry
 	for i := range workers {
@@ -132,7 +137,8 @@
 	var all []versions.Entry
 	for i := range 400 {
 		name := fmt.Sprintf("worker-%04d", i)
-		all, drained = append(all, versions.Entry{Worker: name}), append(drained, versions.Entry{Worker: name, State: versions.Draining})
+		all = append(all, versions.Entry{Worker: name})
+		drained = append(drained, versions.Entry{Worker: name, State: versions.Draining})
 	}
 	for _, table := range tables {
 		table.ApplyList(net.Now, src, 6, false, all)
--- a/internal/dispatcher/cluster/versions/lease.go
+++ b/internal/dispatcher/cluster/versions/lease.go
@@ -22,7 +22,8 @@
 		}
 		switch p, known := t.peers[s.Name]; {
 		case s.Self:
-			m.LastUpdate, m.State = t.lastConfirmed, t.Lease.State()
+			m.LastUpdate = t.lastConfirmed
+			m.State = t.Lease.State()
 			if m.LastUpdate == 0 { // the list is cached and unconfirmed: it counts from its loading
 				m.LastUpdate = t.versionSince
 			}
@@ -44,7 +45,9 @@
 // IssueOrder issues an order at this member: out excludes the member, else it is readmitted. At most a third of the
 // members may be out.
 func (t *Table) IssueOrder(now float64, view *membership.View, member string, out bool) error {
-	known, shut, found := 0, 1, false
+	known := 0
+	shut := 1
+	found := false
 	for i := range view.Members {
 		s := &view.Members[i]
 		if s.State == membership.Left {
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -98,7 +98,8 @@
 		seeds = 200
 	}
 	if *size > 0 {
-		seeds, sizes = uint64(*sizeSeeds), []int{*size}
+		seeds = uint64(*sizeSeeds)
+		sizes = []int{*size}
 	}
 	outs := 0
 	for seed := uint64(1); seed <= seeds; seed++ {
@@ -143,7 +144,8 @@
 				t.Errorf("seed %d: %s is %v (%s) long after all was mended", seed, node.Name, table.Lease.State(), table.Lease.Reason)
 			}
 		}
-		if outs += l.maxOut; l.maxOut > lease.MaxOut(n) {
+		outs += l.maxOut
+		if l.maxOut > lease.MaxOut(n) {
 			t.Errorf("seed %d: %d of %d were out at once", seed, l.maxOut, n)
 		}
 		if len(l.violations) > 0 {
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -137,7 +137,8 @@
 		if o.transmits >= maxTransmits {
 			continue
 		}
-		if room -= o.maxEncodedSize(); room < 0 {
+		room -= o.maxEncodedSize()
+		if room < 0 {
 			break
 		}
 		o.transmits++
@@ -166,7 +167,8 @@
 	room := t.replyRoom()
 	for range names {
 		o := t.orders.byMember[names[t.orders.cursor%len(names)]]
-		if room -= o.maxEncodedSize(); room < 0 {
+		room -= o.maxEncodedSize()
+		if room < 0 {
 			break
 		}
 		t.orders.cursor++
--- a/internal/dispatcher/cluster/versions/payload.go
+++ b/internal/dispatcher/cluster/versions/payload.go
@@ -44,7 +44,8 @@
 // fitFacts returns how many of the facts fit into room bytes.
 func fitFacts(facts []Fact, room int) (n int) {
 	for n < min(len(facts), maxFactsPerPayload) {
-		if room -= factOverhead + len(facts[n].Worker); room < 0 {
+		room -= factOverhead + len(facts[n].Worker)
+		if room < 0 {
 			break
 		}
 		n++
--- a/internal/dispatcher/cluster/versions/simulation_test.go
+++ b/internal/dispatcher/cluster/versions/simulation_test.go
@@ -40,7 +40,8 @@
 func TestDrainReachesAllMembers(t *testing.T) {
 	sizes, seeds := []int{5, 50}, uint64(5)
 	if *large {
-		sizes, seeds = []int{10, 100, 300, 1000}, 20
+		sizes = []int{10, 100, 300, 1000}
+		seeds = 20
 	}
 	for _, n := range sizes {
 		if n >= 300 { // a minute each
--- a/internal/dispatcher/cluster/versions/table.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -177,7 +177,8 @@
 	switch {
 	case !t.hasVersion || source != t.version.Source:
 		t.version = Version{Source: source, Epoch: t.epochs[source], Revision: revision}
-		t.firstLiveAt, t.epochStart = 0, 0
+		t.firstLiveAt = 0
+		t.epochStart = 0
 		t.dropFacts()
 	case revision < t.version.Revision && t.cached: // the cached list may be of an earlier epoch: it tells nothing
 		t.version.Revision = revision
@@ -191,7 +192,9 @@
 	default:
 		t.version.Revision = revision
 	}
-	t.hasVersion, t.versionSince, t.cached = true, now, cached
+	t.hasVersion = true
+	t.versionSince = now
+	t.cached = cached
 	if !cached && t.firstLiveAt == 0 {
 		t.firstLiveAt = now
 	}
@@ -229,7 +232,8 @@
 
 // dropFacts drops all that no longer compares with the own list.
 func (t *Table) dropFacts() {
-	t.caughtUpTo, t.newestKnown = 0, 0
+	t.caughtUpTo = 0
+	t.newestKnown = 0
 	clear(t.facts)
 	t.pendingFacts = 0
 }
@@ -267,7 +271,8 @@
 			delete(t.facts, name)
 		case live && !f.doubted && f.from != "" && f.Revision > t.version.Revision && f.Revision > issued &&
 			now > max(f.receivedAt, t.discoveryLiveSince)+confirmTimeout:
-			f.doubted, changed = true, true
+			f.doubted = true
+			changed = true
 			t.Stats.Doubted++
 			t.OnEvent(now, &Event{Kind: FactDoubted, From: f.from, Version: t.version, Facts: []Fact{f.Fact}})
 			t.Log(fmt.Sprintf("%s told that %s is %s at version %d, which discovery has not told for %.0f s: taken back",
--- a/internal/dispatcher/cluster/versions/table_test.go
+++ b/internal/dispatcher/cluster/versions/table_test.go
@@ -120,7 +120,8 @@
 	a.ApplyList(20, "10.0.0.8:8500", 90, false, entries(Draining, "x"))
 	exchange(20, a, table)
 	expectRestrictions(t, "another source", table)
-	a, table = newTestTable("a", 50, "x"), newTestTable("b", 50, "x")
+	a = newTestTable("a", 50, "x")
+	table = newTestTable("b", 50, "x")
 	a.ApplyList(20, src, 3, false, entries(Draining, "x")) // discovery was restarted
 	exchange(20, a, table)
 	expectRestrictions(t, "another line of descent", table)
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -83,7 +83,8 @@
 func (d *Dispatcher) reportProgress(id AttemptID, update loadbalancer.ProgressUpdate) {
 	d.handle(func() {
 		if attempt, ok := d.attempts.Get(slotmap.Handle(id)); ok && !attempt.ended {
-			update.Request, update.Attempt = attempt.request.id, attempt.index
+			update.Request = attempt.request.id
+			update.Attempt = attempt.index
 			d.balancer.HandleProgress(d.clock.Now(), &update)
 		}
 	})
@@ -101,7 +102,9 @@
 // endAttempt ends an attempt: it answers the request if that is settled by it, and reports the one outcome to the balancer.
 func (d *Dispatcher) endAttempt(attempt *attempt, outcome Outcome) {
 	invariant.Check(!attempt.ended, "an attempt ends once")
-	attempt.ended, attempt.endedAt, attempt.result = true, d.clock.Now(), outcome.Result
+	attempt.ended = true
+	attempt.endedAt = d.clock.Now()
+	attempt.result = outcome.Result
 	attempt.timer.Stop()
 	d.attempts.Remove(attempt.handle)
 	request := attempt.request
@@ -112,7 +115,8 @@
 	case outcome.InvalidJob: // no evidence against the backend; the second backend that says so decides it
 		outcome.Result = loadbalancer.Cancelled
 		attempt.result = outcome.Result
-		if request.invalidVotes++; request.invalidVotes > 1 && !request.answered {
+		request.invalidVotes++
+		if request.invalidVotes > 1 && !request.answered {
 			d.counts.InvalidJobs++
 			d.answer(request, Answer{Verdict: Failed}, ReasonInvalidJob, -1)
 		}
--- a/internal/dispatcher/dispatch/dispatcher.go
+++ b/internal/dispatcher/dispatch/dispatcher.go
@@ -91,7 +91,8 @@
 // Counts returns the totals so far.
 func (d *Dispatcher) Counts() Counts {
 	counts := d.counts
-	counts.OpenRequests, counts.OpenAttempts = d.requests.Len(), d.attempts.Len()
+	counts.OpenRequests = d.requests.Len()
+	counts.OpenAttempts = d.attempts.Len()
 	return counts
 }
 
@@ -107,7 +108,8 @@
 		d.events = d.events[1:]
 		next()
 	}
-	d.events, d.handlingEvent = nil, false
+	d.events = nil
+	d.handlingEvent = false
 }
 
 // Snapshot returns what the balancer has learnt, for the process that replaces this one.
--- a/internal/dispatcher/dispatch/members.go
+++ b/internal/dispatcher/dispatch/members.go
@@ -43,7 +43,8 @@
 	for d.members[id] != nil {
 		id++
 	}
-	d.workerIDs[name], d.members[id] = id, &Member{}
+	d.workerIDs[name] = id
+	d.members[id] = &Member{}
 	return id
 }
 
--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -74,7 +74,12 @@
 	if o.conn != nil {
 		o.conn.Close()
 	}
-	o.conn, o.connected, o.period, o.reader, o.periodWritten, o.unanswered = nil, false, nil, nil, false, 0
+	o.conn = nil
+	o.connected = false
+	o.period = nil
+	o.reader = nil
+	o.periodWritten = false
+	o.unanswered = 0
 }
 
 func (o *Collectd) wake() {
@@ -85,7 +90,9 @@
 	if p == nil {
 		return
 	}
-	o.period, o.reader, o.currentPeriod = p, p.Read(), n
+	o.period = p
+	o.reader = p.Read()
+	o.currentPeriod = n
 	o.progressAt = o.exporter.loop.Now()
 	if o.conn == nil {
 		o.conn = o.exporter.loop.ConnectUnix(o.path, o)
@@ -103,7 +110,8 @@
 		return
 	}
 	if o.answered != o.answers {
-		o.answered, o.progressAt = o.answers, now
+		o.answered = o.answers
+		o.progressAt = now
 	}
 	if now-o.progressAt >= o.timeout {
 		o.Closed(nil, errors.New("no answer"))
@@ -125,7 +133,8 @@
 		s, v, ok := o.reader.Next()
 		if !ok {
 			o.logTruncated(o.reader)
-			o.reader, o.periodWritten = nil, true
+			o.reader = nil
+			o.periodWritten = true
 			break
 		}
 		b = append(b, `PUTVAL "`...)
@@ -151,7 +160,9 @@
 		return
 	}
 	n, timestamp := o.currentPeriod, o.period.Timestamp
-	o.period, o.periodWritten, o.retryDelay = nil, false, 0
+	o.period = nil
+	o.periodWritten = false
+	o.retryDelay = 0
 	o.stats.Periods++
 	o.exporter.acknowledge(o, n, timestamp)
 	o.exporter.loop.Defer(o.wake)
--- a/internal/dispatcher/exporter/collectd_network.go
+++ b/internal/dispatcher/exporter/collectd_network.go
@@ -104,7 +104,9 @@
 			return
 		}
 	}
-	o.period, o.reader, o.currentPeriod = p, p.Read(), n
+	o.period = p
+	o.reader = p.Read()
+	o.currentPeriod = n
 	o.schedule(0, o.sendMore)
 }
 
@@ -134,7 +136,8 @@
 	}
 	for range pointsPerTurn {
 		if !o.pending {
-			if o.series, o.value, o.pending = o.reader.Next(); !o.pending {
+			o.series, o.value, o.pending = o.reader.Next()
+			if !o.pending {
 				o.logTruncated(o.reader)
 				return true, o.sendPacket()
 			}
@@ -187,7 +190,9 @@
 		return
 	}
 	n, timestamp := o.currentPeriod, o.period.Timestamp
-	o.period, o.reader, o.retryDelay = nil, nil, 0
+	o.period = nil
+	o.reader = nil
+	o.retryDelay = 0
 	o.stats.Periods++
 	o.exporter.acknowledge(o, n, timestamp)
 	o.wake()
--- a/internal/dispatcher/exporter/compatibility_test.go
+++ b/internal/dispatcher/exporter/compatibility_test.go
@@ -27,7 +27,9 @@
 	period := &telemetry.Period{Timestamp: stamp, Interval: 10, Table: table, EncodedValues: []byte{2, 42, 1, 0, 0, 0, 0x3f}} // 40 and 0.5
 	for name, pickle := range map[string]bool{"graphite-lines": false, "graphite-pickle": true} {
 		g := NewGraphite(GraphiteOptions{Pickle: pickle})
-		g.prefix, g.period, g.reader = "cinderroad.n0.", period, period.Read()
+		g.prefix = "cinderroad.n0."
+		g.period = period
+		g.reader = period.Read()
 		b, points, _ := g.render(nil)
 		if points != 2 {
 			t.Errorf("%s: %d points", name, points)
--- a/internal/dispatcher/exporter/exporter.go
+++ b/internal/dispatcher/exporter/exporter.go
@@ -138,7 +138,8 @@
 
 // Stop ends that. The open period stays open and buffered periods stay buffered.
 func (e *Exporter) Stop() {
-	if e.running = false; e.encoding {
+	e.running = false
+	if e.encoding {
 		e.addPeriod(e.set.EncodePeriod(math.MaxInt32))
 	}
 	e.timer.Stop()
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -169,7 +169,9 @@
 			g.finishBatch()
 			return
 		}
-		g.period, g.reader, g.nextPeriod = p, p.Read(), n
+		g.period = p
+		g.reader = p.Read()
+		g.nextPeriod = n
 	}
 	b, points, done := g.render(nil)
 	g.stats.Points += uint64(points)
@@ -180,7 +182,8 @@
 		g.lastCompleteTimestamp = g.period.Timestamp
 		g.hasComplete = true
 		g.nextPeriod++
-		g.period, g.reader = nil, nil
+		g.period = nil
+		g.reader = nil
 	}
 	g.schedule(0, g.writeMore)
 }
@@ -247,7 +250,8 @@
 		g.schedule(pollPause, g.awaitDelivery)
 	case g.hasComplete:
 		g.batchDelivered()
-		g.hasComplete, g.batchBytes = false, 0
+		g.hasComplete = false
+		g.batchBytes = 0
 		if p, _ := g.exporter.periodFrom(g.nextPeriod); p != nil {
 			g.schedule(batchPause, g.wake)
 		}
@@ -256,7 +260,8 @@
 
 func (g *Graphite) batchDelivered() {
 	g.stats.Periods += g.lastComplete - max(g.cursor.Next(), 1) + 1
-	g.retryDelay, g.unconfirmedAttempts = 0, 0
+	g.retryDelay = 0
+	g.unconfirmedAttempts = 0
 	g.maxBatch = min(2*g.maxBatch, maxBatchBytes)
 	g.exporter.acknowledge(g, g.lastComplete, g.lastCompleteTimestamp)
 }
@@ -282,7 +287,8 @@
 	g.exporter.log.Debug("metrics: Graphite", zap.Stringer("address", g.options.Address), zap.Error(err))
 	idle := g.idle()
 	g.disconnect()
-	if g.maxBatch = max(g.maxBatch/2, minBatchBytes); idle {
+	g.maxBatch = max(g.maxBatch/2, minBatchBytes)
+	if idle {
 		g.wake()
 		return
 	}
--- a/internal/dispatcher/exporter/output.go
+++ b/internal/dispatcher/exporter/output.go
@@ -59,7 +59,8 @@
 func (s *outputBase) end() { s.exporter = nil }
 
 func (s *outputBase) init(exporter *Exporter, place *telemetry.Cursor) {
-	s.exporter, s.cursor = exporter, place
+	s.exporter = exporter
+	s.cursor = place
 }
 
 // retryLater schedules one call of try after the backoff.
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -70,7 +70,9 @@
 
 func (p *packet) clear() {
 	p.buffer = append(p.buffer[:0], make([]byte, p.headerSize)...)
-	p.hasValues, p.timestamp, p.interval = false, 0, 0
+	p.hasValues = false
+	p.timestamp = 0
+	p.interval = 0
 }
 
 func appendPart(b []byte, kind uint16, size int) []byte {
@@ -123,7 +125,11 @@
 		p.buffer = b[:was]
 		return false
 	}
-	p.buffer, p.hasValues, p.kind, p.timestamp, p.interval = b, true, series.Kind, timestamp, interval
+	p.buffer = b
+	p.hasValues = true
+	p.kind = series.Kind
+	p.timestamp = timestamp
+	p.interval = interval
 	return true
 }
 
--- a/internal/dispatcher/gearman/attempt.go
+++ b/internal/dispatcher/gearman/attempt.go
@@ -29,7 +29,8 @@
 		if a.settled || j.ended {
 			return
 		}
-		j.numerator, j.denominator = packet.Args[1], packet.Args[2]
+		j.numerator = packet.Args[1]
+		j.denominator = packet.Args[2]
 		j.notify(WorkStatus, j.numerator, j.denominator)
 		numerator, numeratorErr := strconv.ParseFloat(j.numerator, 64)
 		denominator, denominatorErr := strconv.ParseFloat(j.denominator, 64)
@@ -37,7 +38,8 @@
 			a.worker.peer.server.dispatcher.HandleProgress(a.id, numerator/denominator)
 		}
 	case WorkData, WorkWarning:
-		if a.outputBytes += len(packet.Args[1]); a.outputBytes > maxDataBytes {
+		a.outputBytes += len(packet.Args[1])
+		if a.outputBytes > maxDataBytes {
 			a.finish(dispatch.Outcome{Result: loadbalancer.Error, Report: a.worker.load()})
 			return
 		}
@@ -65,7 +67,8 @@
 	}
 	delete(a.worker.running, a.job.handle)
 	a.timeLimit.Stop()
-	if a.job.running--; a.job.running == 0 {
+	a.job.running--
+	if a.job.running == 0 {
 		a.job.function.running--
 	}
 	if !a.settled {
--- a/internal/dispatcher/gearman/client.go
+++ b/internal/dispatcher/gearman/client.go
@@ -46,7 +46,10 @@
 
 // submit creates a job, or joins the pending one with the same function and unique id.
 func (p *peer) submit(packet Packet, priority int, background bool) {
-	s, name, unique, data := p.server, packet.Args[0], packet.Args[1], packet.Args[len(packet.Args)-1]
+	s := p.server
+	name := packet.Args[0]
+	unique := packet.Args[1]
+	data := packet.Args[len(packet.Args)-1]
 	fn := s.functions[name]
 	if code, reason := s.rejectionOf(fn, name); code != "" {
 		p.send(Error, code, reason)
--- a/internal/dispatcher/gearman/config.go
+++ b/internal/dispatcher/gearman/config.go
@@ -92,17 +92,20 @@
 	seen := map[string]bool{}
 	for i := range c.Functions {
 		fn := &c.Functions[i]
-		if fn.classIndex = slices.Index(names.Classes, fn.Class); fn.classIndex < 0 {
+		fn.classIndex = slices.Index(names.Classes, fn.Class)
+		if fn.classIndex < 0 {
 			return fmt.Errorf("function %q: unknown class %q", fn.Name, fn.Class)
 		}
 		if fn.Name == "" || seen[fn.Name] || fn.Deadline < 0 || fn.Deadline > names.Deadlines[fn.classIndex] {
 			return fmt.Errorf("function %q: no name, named twice, or deadline_s not within the class's", fn.Name)
 		}
 		seen[fn.Name] = true
-		if fn.deadline = fn.Deadline; fn.deadline == 0 {
+		fn.deadline = fn.Deadline
+		if fn.deadline == 0 {
 			fn.deadline = names.Deadlines[fn.classIndex]
 		}
-		if fn.backgroundDeadline = fn.BackgroundDeadline; fn.backgroundDeadline <= 0 {
+		fn.backgroundDeadline = fn.BackgroundDeadline
+		if fn.backgroundDeadline <= 0 {
 			fn.backgroundDeadline = defaultBackgroundDeadlines * fn.deadline
 		}
 	}
--- a/internal/dispatcher/gearman/job.go
+++ b/internal/dispatcher/gearman/job.go
@@ -116,7 +116,8 @@
 	if j.ended {
 		return
 	}
-	if j.requeued = answer.Verdict == dispatch.Rejected && j.requeue(answer.RetryAfter); j.requeued {
+	j.requeued = answer.Verdict == dispatch.Rejected && j.requeue(answer.RetryAfter)
+	if j.requeued {
 		return
 	}
 	var last outputPacket
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -143,6 +143,7 @@
 
 // markMessageComplete records that a complete message arrived and stops its deadline.
 func (p *peer) markMessageComplete() {
-	p.sentMessage, p.messagePending = true, false
+	p.sentMessage = true
+	p.messagePending = false
 	p.timeout.Stop()
 }
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -117,7 +117,8 @@
 func (s *Server) SetRetired(on bool) {
 	s.listener.SetSuspended(on)
 	s.retireTimer.Stop()
-	if s.stopping = on; !on {
+	s.stopping = on
+	if !on {
 		return
 	}
 	s.Drain()
@@ -154,7 +155,8 @@
 // Evacuate rejects new jobs and closes the clients that wait for nothing (on), or accepts jobs again. Workers stay, and
 // pending jobs are finished.
 func (s *Server) Evacuate(on bool) {
-	if s.evacuating = on; !on {
+	s.evacuating = on
+	if !on {
 		return
 	}
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
@@ -205,7 +207,8 @@
 		restart = append(restart, "gearman functions")
 	}
 	next := *config
-	next.listenAddress, next.Functions = s.config.listenAddress, s.config.Functions
+	next.listenAddress = s.config.listenAddress
+	next.Functions = s.config.Functions
 	s.config = &next
 	return restart
 }
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -65,7 +65,8 @@
 
 // publish updates the dispatcher's member. A worker without abilities is draining.
 func (w *worker) publish() {
-	w.member.State, w.member.Skills = loadbalancer.Draining, []uint32{noSkill}
+	w.member.State = loadbalancer.Draining
+	w.member.Skills = []uint32{noSkill}
 	for name := range w.abilities {
 		w.member.State = loadbalancer.Ready
 		w.member.Skills = append(w.member.Skills, w.peer.server.functions[name].skill)
@@ -214,7 +215,8 @@
 		w.removeAbilities("", true)
 	case PreSleep:
 		if w != nil {
-			if w.asleep = len(w.unassigned) == 0; !w.asleep {
+			w.asleep = len(w.unassigned) == 0
+			if !w.asleep {
 				p.send(Noop)
 			}
 		}
@@ -248,7 +250,8 @@
 		j := a.job
 		result, confirmed := s.dispatcher.ConfirmSend(a.id)
 		if confirmed && w.running[j.handle] != nil { // it still runs a cancelled attempt of this job: the reports carry only the handle
-			result, confirmed = loadbalancer.ConnectFailed, false
+			result = loadbalancer.ConnectFailed
+			confirmed = false
 		}
 		if !confirmed {
 			s.dispatcher.HandleOutcome(a.id, dispatch.Outcome{Result: result})
--- a/internal/dispatcher/httpfront/attempt.go
+++ b/internal/dispatcher/httpfront/attempt.go
@@ -34,7 +34,8 @@
 	delete(p.byCallback, attempt.key)
 	delete(p.byID, attempt.id)
 	if connection := attempt.connection; connection != nil {
-		connection.exchange, attempt.connection = nil, nil
+		connection.exchange = nil
+		attempt.connection = nil
 		if connection.connected { // bounds the wait for the answer, which a dead backend never sends
 			connection.setTimeout(p.options.ProbeTimeout)
 		}
@@ -43,7 +44,8 @@
 
 // handleResponse handles a backend's answer: 202 accepts the job, and callbacks report the rest; all else ends the attempt.
 func (p *Pool) handleResponse(attempt *attempt, response *Response) {
-	attempt.connection, attempt.sent = nil, true
+	attempt.connection = nil
+	attempt.sent = true
 	if response.Status == 202 {
 		return // callbacks report the rest
 	}
@@ -81,7 +83,8 @@
 		p.dispatcher.HandleProgress(attempt.id, callback.Progress)
 		return
 	case "done":
-		outcome.Result, outcome.Body = loadbalancer.OK, []byte(callback.Result)
+		outcome.Result = loadbalancer.OK
+		outcome.Body = []byte(callback.Result)
 	case "returned":
 		outcome.Result = loadbalancer.Rejected
 	case "lost":
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -38,7 +38,8 @@
 		p.dispatcher.HandleOutcome(spec.ID, dispatch.Outcome{Result: loadbalancer.Withdrawn})
 		return
 	}
-	p.byCallback[a.key], p.byID[a.id] = a, a
+	p.byCallback[a.key] = a
+	p.byID[a.id] = a
 	b.do(&exchange{attempt: a})
 }
 
--- a/internal/dispatcher/httpfront/connection.go
+++ b/internal/dispatcher/httpfront/connection.go
@@ -80,7 +80,8 @@
 
 // release makes the connection idle for the next exchange.
 func (c *connection) release() {
-	c.exchange, c.busy = nil, false
+	c.exchange = nil
+	c.busy = false
 	c.timeout.Stop()
 	if c.conn.Unsent() > 0 || c.incarnation != c.backend.incarnation {
 		c.conn.Close()
@@ -183,7 +184,8 @@
 		c.backend.pool.StaleConnections++
 		c.backend.closeIdle()
 		if exchange := c.exchange; exchange != nil && exchange.attempt == nil { // safe to retry
-			c.exchange, c.busy = nil, false
+			c.exchange = nil
+			c.busy = false
 			c.backend.do(exchange)
 			return
 		}
@@ -197,7 +199,8 @@
 func (c *connection) handleLoss(err error) {
 	c.timeout.Stop()
 	exchange := c.exchange
-	c.exchange, c.busy = nil, false
+	c.exchange = nil
+	c.busy = false
 	switch {
 	case exchange == nil:
 	case exchange.probeDone != nil:
--- a/internal/dispatcher/httpfront/discovery.go
+++ b/internal/dispatcher/httpfront/discovery.go
@@ -102,7 +102,8 @@
 	if address == c.address {
 		return
 	}
-	c.address, c.failures = address, 0
+	c.address = address
+	c.failures = 0
 	c.retryTimer.Stop()
 	if c.pending != nil {
 		c.pending.close()
@@ -159,7 +160,8 @@
 	for _, entry := range list.Entries {
 		if known, ok := c.entries[entry.UID]; ok && entry.State == "gone" {
 			// The last entry may lack what deduplication needs, such as the cell: it departs with the entry in force.
-			entry, entry.State = known, "gone"
+			entry = known
+			entry.State = "gone"
 		}
 		worker := loadbalancer.Worker{
 			ID:        c.dispatcher.WorkerID(entry.UID),
@@ -176,7 +178,8 @@
 			Backend: c.pool.ensureBackend(worker.ID, entry.UID, endpoint),
 			Name:    entry.UID,
 		})
-		if listed[worker.ID] = worker.State != loadbalancer.Departed; listed[worker.ID] {
+		listed[worker.ID] = worker.State != loadbalancer.Departed
+		if listed[worker.ID] {
 			c.entries[entry.UID] = entry
 		} else {
 			delete(c.entries, entry.UID)
--- a/internal/dispatcher/httpfront/discovery_backoff.go
+++ b/internal/dispatcher/httpfront/discovery_backoff.go
@@ -57,7 +57,8 @@
 	backoff, retryAfter := lossBackoff, 0.0
 	var refused *rejectedError
 	if errors.As(err, &refused) {
-		backoff, retryAfter = rejectionBackoff(c.Instances), refused.retryAfter
+		backoff = rejectionBackoff(c.Instances)
+		retryAfter = refused.retryAfter
 		c.Rejections++
 	}
 	span := min(math.Ldexp(backoff.initial, c.failures), backoff.max)
--- a/internal/dispatcher/httpfront/discovery_test.go
+++ b/internal/dispatcher/httpfront/discovery_test.go
@@ -42,7 +42,8 @@
 					if delay < tc.retryAfter || delay > tc.retryAfter+span {
 						t.Fatalf("delay %d is %.2f s", i, delay)
 					}
-					if least[i] = min(least[i], delay-tc.retryAfter-span); delay > most[i] {
+					least[i] = min(least[i], delay-tc.retryAfter-span)
+					if delay > most[i] {
 						most[i] = delay
 					}
 				}
@@ -132,7 +133,8 @@
 					queue = queue[1:]
 				}
 				if len(queue) > 0 {
-					queue, served = queue[1:], served+1
+					queue = queue[1:]
+					served++
 				}
 			}
 			busiest := 0
--- a/internal/dispatcher/httpfront/discovery_watch.go
+++ b/internal/dispatcher/httpfront/discovery_watch.go
@@ -139,7 +139,9 @@
 	if client.current != nil {
 		client.current.close()
 	}
-	client.current, client.pending, client.failures = w, nil, 0
+	client.current = w
+	client.pending = nil
+	client.failures = 0
 	w.fetchingList = false
 	client.log.Info("director: moved", zap.Stringer("discovery", w.address), zap.Int64("rev", list.Revision))
 	client.countBadEntries(bad)
@@ -190,7 +192,8 @@
 				break
 			}
 			w.partial = rest
-			if line = bytes.TrimSpace(line); len(line) > 0 {
+			line = bytes.TrimSpace(line)
+			if len(line) > 0 {
 				if err := w.handleLine(line); err != nil {
 					return err
 				}
@@ -216,7 +219,8 @@
 		return err
 	}
 	client.countBadEntries(bad)
-	w.revision, client.failures = list.Revision, 0
+	w.revision = list.Revision
+	client.failures = 0
 	kind := loadbalancer.ListDelta
 	if list.Full {
 		kind = loadbalancer.ListFull
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -96,7 +96,8 @@
 		f.classes[classSettings.Name] = class{i, classSettings.Deadline}
 	}
 	if retryAfter := min(defaultRetryAfter, settings.MaxRetryAfter); settings.MayRetryAfter && retryAfter > 0 {
-		f.retryAfterHeader, f.retryAfter = retryAfterLine(retryAfter), retryAfter
+		f.retryAfterHeader = retryAfterLine(retryAfter)
+		f.retryAfter = retryAfter
 	}
 	return f
 }
--- a/internal/dispatcher/httpfront/front_drain.go
+++ b/internal/dispatcher/httpfront/front_drain.go
@@ -19,7 +19,8 @@
 func (f *Front) Evacuate(evacuated bool, since float64) {
 	switch {
 	case !evacuated:
-		f.evacuatedSince, f.closingIdle = 0, false
+		f.evacuatedSince = 0
+		f.closingIdle = false
 		f.sweepTimer.Stop()
 	case f.evacuatedSince == 0:
 		f.evacuatedSince = since
--- a/internal/dispatcher/httpfront/front_evict.go
+++ b/internal/dispatcher/httpfront/front_evict.go
@@ -24,7 +24,8 @@
 			return
 		}
 		if rank == rankIncomplete || s.conn.Alive() { // else unread input has come, or the peer has disconnected
-			best, bestRank = s, rank
+			best = s
+			bestRank = rank
 		}
 	})
 	switch {
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -16,7 +16,8 @@
 // SetSuccessor has each session passed to successor once it is idle, with its unread bytes. A session that successor
 // refuses is kept for now. nil ends this.
 func (f *Front) SetSuccessor(successor func(SessionState, *eventloop.Conn) bool) {
-	if f.successor = successor; successor != nil {
+	f.successor = successor
+	if successor != nil {
 		f.OfferSessions()
 	}
 }
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -168,7 +168,8 @@
 		if last {
 			return body, n, nil
 		}
-		if body = append(body, chunk...); len(body) > limit {
+		body = append(body, chunk...)
+		if len(body) > limit {
 			return nil, 0, httpwire.NewSyntaxError(413, "body too large")
 		}
 	}
--- a/internal/dispatcher/httpfront/list.go
+++ b/internal/dispatcher/httpfront/list.go
@@ -38,7 +38,8 @@
 			return List{}, nil, err
 		}
 	}
-	if bad = append(bad, l.dropInvalid()...); l.Full && len(l.Entries) == 0 && len(bad) > 0 {
+	bad = append(bad, l.dropInvalid()...)
+	if l.Full && len(l.Entries) == 0 && len(bad) > 0 {
 		return List{}, nil, fmt.Errorf("platform: list: full list without a valid entry: %w", bad[0]) // else all members would depart
 	}
 	return l, bad, nil
@@ -54,7 +55,8 @@
 	if json.Unmarshal(text, &raw) != nil {
 		return l, nil, fmt.Errorf("platform: list: %w", listErr)
 	}
-	l.Revision, l.Full = raw.Rev, raw.All
+	l.Revision = raw.Rev
+	l.Full = raw.All
 	for _, text := range raw.Targets {
 		var entry Entry
 		if err := json.Unmarshal(text, &entry); err != nil {
@@ -73,7 +75,8 @@
 	index, kept := make(map[string]int, len(l.Entries)), l.Entries[:0]
 	for _, entry := range l.Entries {
 		if err := entry.validate(); err != nil {
-			bad, l.droppedUIDs = append(bad, err), append(l.droppedUIDs, entry.UID)
+			bad = append(bad, err)
+			l.droppedUIDs = append(l.droppedUIDs, entry.UID)
 			continue
 		}
 		i, duplicate := index[entry.UID]
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -152,7 +152,9 @@
 		}
 		s.conn.Consume(size)
 		s.timeout.Stop()
-		s.closeAfterReply, s.hasSent, s.requestStart = request.Close, true, 0
+		s.closeAfterReply = request.Close
+		s.hasSent = true
+		s.requestStart = 0
 		handle := s.handle
 		s.serve(&request)
 		if _, open := s.front.sessions.Get(handle); !open {
--- a/internal/dispatcher/httpfront/session_serve.go
+++ b/internal/dispatcher/httpfront/session_serve.go
@@ -72,7 +72,8 @@
 	}
 	s.awaitingForward = true
 	s.setTimeout(s.front.loop.Now()+forwardTimeout, func() { // the runner will retry
-		s.awaitingForward, s.closeAfterReply = false, true
+		s.awaitingForward = false
+		s.closeAfterReply = true
 		s.reply(503, "", nil)
 	})
 	return true
@@ -120,10 +121,12 @@
 		return
 	}
 	hint, _ := strconv.ParseFloat(request.Header.Get("X-Call-Cost"), 64)
-	if hint = hint / 1000; !(hint > 0 && hint <= class.deadline) {
+	hint = hint / 1000
+	if !(hint > 0 && hint <= class.deadline) {
 		hint = 0 // one bad hint must not distort the mean of its class
 	}
-	s.callID, s.reservedBytes = call.ID, len(call.Body)
+	s.callID = call.ID
+	s.reservedBytes = len(call.Body)
 	s.front.openCalls[call.ID] = true
 	s.request = s.front.dispatcher.Submit(dispatch.Job{
 		Class:    class.index,
--- a/internal/dispatcher/httpfront/staleness.go
+++ b/internal/dispatcher/httpfront/staleness.go
@@ -37,7 +37,8 @@
 func (s *staleness) record(now, idleTime, dead float64) {
 	step := stalenessStep(idleTime)
 	share := s.share(now, step)
-	s.deadShare[step], s.seenAt[step] = share+stalenessGain*(dead-share), now
+	s.deadShare[step] = share + stalenessGain*(dead-share)
+	s.seenAt[step] = now
 }
 
 // exceeded reports whether a connection has been idle for too long to be trusted.
--- a/internal/dispatcher/linelog/file.go
+++ b/internal/dispatcher/linelog/file.go
@@ -19,7 +19,8 @@
 		file.Close()
 		return err
 	}
-	l.file, l.size = file, info.Size()
+	l.file = file
+	l.size = info.Size()
 	// An earlier incarnation may have been killed in the middle of a line.
 	var last [1]byte
 	if l.size > 0 {
--- a/internal/dispatcher/operatorconfig/config_test.go
+++ b/internal/dispatcher/operatorconfig/config_test.go
@@ -44,7 +44,9 @@
 	if config.Cluster == nil || config.RequestLog == nil || len(config.Graphite) != 1 || len(config.Collectd) != 1 {
 		t.Fatalf("%+v: not all sections are on", config)
 	}
-	cluster, telemetry, defaults := config.Cluster, config.Telemetry, Default().Telemetry
+	cluster := config.Cluster
+	telemetry := config.Telemetry
+	defaults := Default().Telemetry
 	for key, isDefault := range map[string]bool{
 		"fleet.period_s":         cluster.ProbeIntervalSeconds == DefaultProbeIntervalSeconds,
 		"fleet.forget_s":         cluster.RetentionSeconds == DefaultRetentionSeconds,
--- a/internal/dispatcher/operatorconfig/errors.go
+++ b/internal/dispatcher/operatorconfig/errors.go
@@ -81,9 +81,12 @@
 
 // lineOf returns the line of a key or section header, from 1; 0 if it is not in the file.
 func (c *Config) lineOf(key string) int {
-	section, wantedIndex, name := "", 0, key
+	section := ""
+	wantedIndex := 0
+	name := key
 	if match := keyPattern.FindStringSubmatch(key); match != nil {
-		section, name = match[1], match[3]
+		section = match[1]
+		name = match[3]
 		wantedIndex, _ = strconv.Atoi(match[2])
 	}
 	current, index := "", -1 // the section of the line, and the index of the wanted section so far
--- a/internal/dispatcher/operatorconfig/validate.go
+++ b/internal/dispatcher/operatorconfig/validate.go
@@ -104,7 +104,8 @@
 	for i, receiver := range c.Collectd {
 		key, name := "socket", receiver.Socket
 		if receiver.Address != "" {
-			key, name = "address", receiver.ParsedAddress.String()
+			key = "address"
+			name = receiver.ParsedAddress.String()
 		}
 		if seen[name] {
 			return c.keyError(fmt.Sprintf("collectd[%d].%s", i, key), fmt.Errorf("%s is there twice", name))
--- a/internal/dispatcher/requestaudit/compare.go
+++ b/internal/dispatcher/requestaudit/compare.go
@@ -46,7 +46,8 @@
 	for key, points := range a.points {
 		if n := uint64(increase(points)); n > 0 {
 			row := all[key]
-			row.Key, row.Received = key, n
+			row.Key = key
+			row.Received = n
 			all[key] = row
 		}
 	}
--- a/internal/dispatcher/requestaudit/requestaudit.go
+++ b/internal/dispatcher/requestaudit/requestaudit.go
@@ -43,7 +43,8 @@
 func New() *Audit { return &Audit{logged: map[Key]uint64{}, points: map[Key][]point{}} }
 
 func (a *Audit) addMalformed(format string, args ...any) {
-	if a.MalformedCount++; len(a.Malformed) < maxMalformed {
+	a.MalformedCount++
+	if len(a.Malformed) < maxMalformed {
 		a.Malformed = append(a.Malformed, fmt.Sprintf(format, args...))
 	}
 }
@@ -75,7 +76,8 @@
 			a.addMalformed("%s:%d: %v", name, number, err)
 			continue
 		}
-		if a.MetricPoints++; key != (Key{}) {
+		a.MetricPoints++
+		if key != (Key{}) {
 			p.line = number
 			a.points[key] = append(a.points[key], p)
 		}
--- a/internal/dispatcher/requestlog/requestlog_test.go
+++ b/internal/dispatcher/requestlog/requestlog_test.go
@@ -40,7 +40,8 @@
 
 func openLog(t *testing.T, o Options) *Log {
 	t.Helper()
-	o.DispatcherName, o.Classes = "n0", []string{"score"}
+	o.DispatcherName = "n0"
+	o.Classes = []string{"score"}
 	l, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -119,7 +119,8 @@
 		s.Tenants = append(s.Tenants, loadbalancer.Tenant{Name: tenant.Name, QuotaPerSec: tenant.QuotaPerS})
 	}
 	var known bool
-	if s.ListOnRequest, known = map[string]bool{"pushed": false, "on_request": true}[document.MembershipMode]; !known {
+	s.ListOnRequest, known = map[string]bool{"pushed": false, "on_request": true}[document.MembershipMode]
+	if !known {
 		return s, fmt.Errorf("settings: bad membershipMode: %q", document.MembershipMode)
 	}
 	switch document.Report.Via {
--- a/internal/dispatcher/simwire/cursor.go
+++ b/internal/dispatcher/simwire/cursor.go
@@ -88,7 +88,8 @@
 			Cell: int(fields.uint16()),
 		}
 		worker.State = loadbalancer.WorkerState(fields.uint8())
-		worker.Weight, worker.StartedAt = float64(fields.float32()), fields.float64()
+		worker.Weight = float64(fields.float32())
+		worker.StartedAt = fields.float64()
 		h.workers = append(h.workers, worker)
 	}
 }
--- a/internal/dispatcher/simwire/host.go
+++ b/internal/dispatcher/simwire/host.go
@@ -31,7 +31,8 @@
 // HandleFrame applies a batch to the instances and returns the reply frame, which is valid until the next call.
 func (h *Host) HandleFrame(frame Frame) ([]byte, error) {
 	h.out = append(h.out[:0], make([]byte, replyHeaderSize)...)
-	h.records, h.lastInstance = 0, -1
+	h.records = 0
+	h.lastInstance = -1
 	fields := &cursor{data: frame.Body}
 	id := int64(-1)
 	for i := uint32(0); i < frame.Records; i++ {
--- a/internal/dispatcher/spool/recovery.go
+++ b/internal/dispatcher/spool/recovery.go
@@ -31,7 +31,8 @@
 	total := int64(0)
 	for i, file := range files {
 		last = file.number
-		if total += file.size; total > 2*most+maxBodyBytes {
+		total += file.size
+		if total > 2*most+maxBodyBytes {
 			break
 		}
 		text, err := os.ReadFile(file.path)
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -79,7 +79,10 @@
 func (s *Spool) AppendPeriod(period *telemetry.Period, assignments []telemetry.SlotAssignment, done func()) {
 	var records []record
 	if s.table != period.Table || s.fileBytes >= s.maxBytes/maxFiles {
-		s.table, s.namedSeries, s.slots, s.fileBytes = period.Table, 0, nil, 0
+		s.table = period.Table
+		s.namedSeries = 0
+		s.slots = nil
+		s.fileBytes = 0
 		records = append(records, record{newFile: true})
 	}
 	if n := period.Table.Len(); n > s.namedSeries {
@@ -148,7 +151,8 @@
 	for records := range s.queue {
 		if records[0].newFile {
 			err := s.startFile()
-			if broken = err != nil; broken {
+			broken = err != nil
+			if broken {
 				s.reportError(fmt.Errorf("spool: %w", err))
 			}
 			records = records[1:]
@@ -180,7 +184,8 @@
 	}
 	total := int64(0)
 	for i := len(files) - 1; i >= 0; i-- {
-		if total += files[i].size; total > s.maxBytes-s.maxBytes/maxFiles {
+		total += files[i].size
+		if total > s.maxBytes-s.maxBytes/maxFiles {
 			_ = os.Remove(files[i].path)
 		}
 	}
@@ -193,7 +198,8 @@
 		file.Close()
 		return err
 	}
-	s.file, s.size = file, int64(len(magic))
+	s.file = file
+	s.size = int64(len(magic))
 	return nil
 }
 
--- a/internal/dispatcher/telemetry/handoff.go
+++ b/internal/dispatcher/telemetry/handoff.go
@@ -43,7 +43,8 @@
 // add.
 func (s *Set) TakeDelta() (counts map[string]float64, spans Latencies) {
 	s.poll()
-	counts, spans = map[string]float64{}, Latencies{}
+	counts = map[string]float64{}
+	spans = Latencies{}
 	for name, i := range s.counters {
 		if v := s.values[i] - s.lastDelta[i]; v > 0 {
 			counts[name] = v
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -34,9 +34,13 @@
 
 func (s *Set) addNodes() {
 	n := &s.nodes
-	n.zones, n.kinds = SanitizeNames(s.options.Zones), SanitizeNames(s.options.Kinds)
-	n.allocator, n.slots, n.byWorker = newSlotAllocator(), map[slotID]*nodeSlot{}, map[loadbalancer.WorkerID]*nodeSlot{}
-	n.fields.inFlight, n.fields.util = -1, -1
+	n.zones = SanitizeNames(s.options.Zones)
+	n.kinds = SanitizeNames(s.options.Kinds)
+	n.allocator = newSlotAllocator()
+	n.slots = map[slotID]*nodeSlot{}
+	n.byWorker = map[loadbalancer.WorkerID]*nodeSlot{}
+	n.fields.inFlight = -1
+	n.fields.util = -1
 	for i, f := range s.options.Settings.ReportFields {
 		switch f {
 		case loadbalancer.FieldInFlight:
@@ -124,7 +128,8 @@
 	for i := range members { // in the list's order, so that all dispatchers skip the same nodes
 		member := &members[i]
 		if _, in := n.allocator.assigned[member.Name]; !in && member.State != loadbalancer.Departed {
-			if room--; room < 0 {
+			room--
+			if room < 0 {
 				delete(entering, member.Name)
 			}
 		}
--- a/internal/dispatcher/telemetry/period.go
+++ b/internal/dispatcher/telemetry/period.go
@@ -63,7 +63,8 @@
 	case n > uint64(p.Table.Len()):
 		r.err = fmt.Errorf("telemetry: period of %d values, %d series are known", n, p.Table.Len())
 	default:
-		r.count, r.input = int(n), p.EncodedValues[size:]
+		r.count = int(n)
+		r.input = p.EncodedValues[size:]
 	}
 	return r
 }
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -132,7 +132,8 @@
 	for s.GatherNodeGauges(math.MaxInt32) {
 	}
 	s.nodes.gatheredSlots = 0
-	s.frozen, s.encoded = append(s.frozen[:0], s.values...), 0
+	s.frozen = append(s.frozen[:0], s.values...)
+	s.encoded = 0
 	s.encoding = &Period{
 		Timestamp:     timestamp,
 		Interval:      interval,
@@ -145,7 +146,8 @@
 func (s *Set) EncodePeriod(limit int) *Period {
 	end := min(s.encoded+limit, len(s.frozen))
 	s.encoding.EncodedValues = appendValues(s.encoding.EncodedValues, s.frozen[s.encoded:end])
-	if s.encoded = end; end < len(s.frozen) {
+	s.encoded = end
+	if end < len(s.frozen) {
 		return nil
 	}
 	return s.encoding
--- a/internal/dispatcher/telemetry/slotallocator.go
+++ b/internal/dispatcher/telemetry/slotallocator.go
@@ -70,7 +70,8 @@
 			}
 			slot := id.number
 			if !reuse {
-				if slot = slices.Index(a.nodesBySlot[location], ""); slot < 0 {
+				slot = slices.Index(a.nodesBySlot[location], "")
+				if slot < 0 {
 					slot = len(a.nodesBySlot[location])
 				}
 			}
--- a/internal/dispatcher/telemetry/slotassignment.go
+++ b/internal/dispatcher/telemetry/slotassignment.go
@@ -33,7 +33,8 @@
 		}
 		at := location{zone: slices.Index(n.zones, parts[0]), kind: slices.Index(n.kinds, parts[1])}
 		cell, err := strconv.Atoi(parts[2])
-		if at.cell = cell; err != nil || at.zone < 0 && parts[0] != unknownLocation || at.kind < 0 && parts[1] != unknownLocation {
+		at.cell = cell
+		if err != nil || at.zone < 0 && parts[0] != unknownLocation || at.kind < 0 && parts[1] != unknownLocation {
 			continue
 		}
 		if assignment.Node != "" && assignment.Slot >= 0 && assignment.Slot < s.options.MaxNodes {
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -15,7 +15,8 @@
 
 func newSet(o Options) *Set {
 	o.Classes = []string{"score", "charge"}
-	o.Zones, o.Kinds = []string{"milano", "torino"}, []string{"two-core"}
+	o.Zones = []string{"milano", "torino"}
+	o.Kinds = []string{"two-core"}
 	o.Settings.ReportFields = []loadbalancer.ReportField{loadbalancer.FieldUtilization, loadbalancer.FieldInFlight}
 	return New(o)
 }
@@ -180,7 +181,8 @@
 	var sum float64
 	for slot := range 4 {
 		n := s.total(fmt.Sprintf("nodes.milano.two-core.0.%d.ended", slot))
-		if sum += n; n != 3 {
+		sum += n
+		if n != 3 {
 			t.Errorf("slot %d has %v attempts, want 3", slot, n)
 		}
 	}
@@ -213,7 +215,9 @@
 
 // TestMergedLatencies checks that two processes' merged latencies have the quantiles of a single process.
 func TestMergedLatencies(t *testing.T) {
-	whole, older, newer := newSet(Options{}), newSet(Options{}), newSet(Options{})
+	whole := newSet(Options{})
+	older := newSet(Options{})
+	newer := newSet(Options{})
 	for i := range 1000 {
 		f := &dispatch.AnswerRecord{Class: 0, Verdict: dispatch.Served, TargetAt: 10, AnsweredAt: float64(i) / 1000, WinningAttempt: -1}
 		whole.ObserveAnswer(f)
@@ -283,7 +287,9 @@
 }
 
 func (c *lifecycle) restart() {
-	c.set, c.ring, c.places = newSet(Options{MaxNodes: 64}), NewRing(1<<20), nil
+	c.set = newSet(Options{MaxNodes: 64})
+	c.ring = NewRing(1 << 20)
+	c.places = nil
 	for i := range c.receivers {
 		c.places = append(c.places, c.ring.OpenCursor(fmt.Sprint(i)))
 	}
