--- a/internal/dispatcher/cluster/share.go
+++ b/internal/dispatcher/cluster/share.go
@@ -33,5 +33,5 @@
 	}
 }
 
-// Share returns the current share of cold workers.
+// Share returns the current share of the budget of workers in slow start.
 func (c *Cluster) Share() quota.Share { return c.share }
--- a/internal/dispatcher/cluster/status.go
+++ b/internal/dispatcher/cluster/status.go
@@ -60,7 +60,7 @@
 	AgeS   float64 `json:"age_s"` // seconds since an update of discovery last confirmed all that is known here; -1: never
 }
 
-// StatusShare is this dispatcher's share of cold workers.
+// StatusShare is this dispatcher's share of the budget of workers in slow start.
 type StatusShare struct {
 	Instances int     `json:"instances"`
 	Index     int     `json:"me"`
@@ -86,13 +86,14 @@
 	held := c.options.Versions.Restrictions()
 	for _, worker := range slices.Sorted(maps.Keys(held)) {
 		status.Restrictions = append(status.Restrictions, StatusRestriction{
-			worker,
-			held[worker].State.String(),
-			held[worker].Revision,
-			held[worker].From,
+			Worker:   worker,
+			State:    held[worker].State.String(),
+			Revision: held[worker].Revision,
+			From:     held[worker].From,
 		})
 	}
-	status.Lease = StatusLease{c.options.Versions.Lease.State().String(), c.options.Versions.Lease.Reason, c.ConfirmationAge()}
+	lease := c.options.Versions.Lease
+	status.Lease = StatusLease{lease.State().String(), lease.Reason, c.ConfirmationAge()}
 	orders := c.options.Versions.Orders()
 	for _, name := range slices.Sorted(maps.Keys(orders)) {
 		status.Orders = append(status.Orders, orders[name])
@@ -152,15 +153,15 @@
 	if peer, known := c.options.Versions.Peers()[member.Name]; known && member.State != membership.Left {
 		status.ListVersion = &peer.Version
 		status.ListVersionMS = int64(peer.VersionSince * 1000)
-	} else if version, has := c.options.Versions.Version(); has && member.Self {
+	} else if version, hasVersion := c.options.Versions.Version(); hasVersion && member.Self {
 		status.ListVersion = &version
 		status.ListVersionMS = int64(c.options.Versions.VersionSince() * 1000)
 	}
 	return status
 }
 
-// excludedState is the state shown of an alive member that takes no new work. It keeps its share of cold workers, since
-// its requests in flight go on.
+// excludedState is the state shown of an alive member that takes no new work. It keeps its share of workers in slow
+// start, since its requests in flight go on.
 const excludedState = "shut-out"
 
 // String summarizes the members by state.
--- a/internal/dispatcher/cluster/versions/table.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -28,8 +28,9 @@
 	LastUpdate   float64 // time when it last sent a new update of discovery; 0: never
 	DirectUpdate bool    // the update came from its own discovery
 
-	updateStamp            uint64  // stamp of LastUpdate
-	clockLead, clockLeadAt float64 // seconds that the own clock is ahead of its at most, by the quickest message; time of that message
+	updateStamp uint64  // stamp of LastUpdate
+	clockLead   float64 // seconds that the own clock is ahead of its at most, by the quickest message
+	clockLeadAt float64 // time of that message
 }
 
 const (
@@ -57,14 +58,13 @@
 // Table is one member's table. The function fields may be replaced before use; all are called synchronously, and may
 // read the Table but not change it.
 type Table struct {
-	OnChange    func() // Restrictions has changed
-	OnPeerState func() // a peer sent facts, or has none that are newer than what is known here
-	Log         func(line string)
-	// OnOrder is called for each order that is new here.
-	OnOrder  func(o Order)
-	SameZone func(member string) bool    // reports whether a member is in the own zone
-	OnEvent  func(now float64, n *Event) // called for each event, for the audit log
-	Lease    *lease.Lease                // of this member
+	OnChange    func()                          // Restrictions has changed
+	OnPeerState func()                          // a peer sent facts, or has none that are newer than what is known here
+	OnOrder     func(order Order)               // called for each order that is new here
+	OnEvent     func(now float64, event *Event) // called for each event, for the audit log
+	Log         func(line string)               // writes a line for operators
+	SameZone    func(member string) bool        // reports whether a member is in the own zone
+	Lease       *lease.Lease                    // of this member
 
 	self               string
 	version            Version
@@ -100,10 +100,12 @@
 
 // Stats count events since the table was created.
 type Stats struct {
-	FactsSent, FactsAccepted uint64
-	Malformed                uint64 // payloads that were rejected
-	Requests, Replies        uint64 // for the facts that a member lacks
-	Doubted                  uint64 // facts of peers that the own discovery did not confirm
+	FactsSent     uint64
+	FactsAccepted uint64
+	Malformed     uint64 // payloads that were rejected
+	Requests      uint64 // sent, for the facts that this member lacks
+	Replies       uint64 // to the requests of others
+	Doubted       uint64 // facts of peers that the own discovery did not confirm
 }
 
 // New returns an empty table of the member with the given name.
@@ -130,13 +132,13 @@
 func (t *Table) Version() (Version, bool) { return t.version, t.hasVersion }
 
 // MaxLag returns by how many revisions the own list is behind the newest that a peer has.
-func (t *Table) MaxLag() (most int64) {
-	for _, p := range t.peers {
-		if by, ok := t.version.Lag(p.Version); ok {
-			most = max(most, by)
+func (t *Table) MaxLag() (maxLag int64) {
+	for _, peer := range t.peers {
+		if lag, ok := t.version.Lag(peer.Version); ok {
+			maxLag = max(maxLag, lag)
 		}
 	}
-	return most
+	return maxLag
 }
 
 // VersionSince returns when the own list got its version.
@@ -174,6 +176,52 @@
 // ApplyList applies a version of the own list: the entries that changed, with State Gone for those that are no longer
 // in it. cached says that the list was read from disk.
 func (t *Table) ApplyList(now float64, source string, revision int64, cached bool, entries []Entry) {
+	t.updateVersion(now, source, revision)
+	t.hasVersion = true
+	t.versionSince = now
+	t.cached = cached
+	if !cached && t.firstLiveAt == 0 {
+		t.firstLiveAt = now
+	}
+	t.epochs[source] = max(t.epochs[source], t.version.Epoch)
+	if !cached {
+		t.HandleDiscoveryContact(now)
+	}
+	var changed []Fact
+	for _, entry := range entries {
+		if !t.applyEntry(entry) {
+			continue
+		}
+		news := Fact{entry.Worker, entry.State, entry.Start, revision}
+		changed = append(changed, news)
+		known := t.facts[entry.Worker]
+		isOutdated := known != nil && known.Revision > revision // the worker stays restricted by the peer's fact
+		if !cached && !isOutdated {
+			t.addFact(&fact{Fact: news, receivedAt: now})
+		}
+	}
+	t.OnEvent(now, &Event{Kind: ListApplied, Version: t.version, Cached: cached, Facts: changed})
+	t.updateRestrictions()
+}
+
+// applyEntry applies an entry of the own list. It reports whether that changes what other members must know of the worker.
+func (t *Table) applyEntry(entry Entry) (isNews bool) {
+	before, known := t.workers[entry.Worker]
+	if entry.State == Gone {
+		delete(t.workers, entry.Worker)
+	} else {
+		t.workers[entry.Worker] = entry
+	}
+	if entry.State != Ready {
+		return !known || before.State != entry.State
+	}
+	hasChanged := known && (before.State != Ready || before.Start != entry.Start)
+	return hasChanged || t.facts[entry.Worker] != nil
+}
+
+// updateVersion sets the version of the own list. A revision that goes back begins a new epoch, unless the list so far was
+// read from disk.
+func (t *Table) updateVersion(now float64, source string, revision int64) {
 	switch {
 	case !t.hasVersion || source != t.version.Source:
 		t.version = Version{Source: source, Epoch: t.epochs[source], Revision: revision}
@@ -192,39 +240,6 @@
 	default:
 		t.version.Revision = revision
 	}
-	t.hasVersion = true
-	t.versionSince = now
-	t.cached = cached
-	if !cached && t.firstLiveAt == 0 {
-		t.firstLiveAt = now
-	}
-	t.epochs[source] = max(t.epochs[source], t.version.Epoch)
-	if !cached {
-		t.HandleDiscoveryContact(now)
-	}
-	var changed []Fact
-	for _, e := range entries {
-		before, known := t.workers[e.Worker]
-		if e.State == Gone {
-			delete(t.workers, e.Worker)
-		} else {
-			t.workers[e.Worker] = e
-		}
-		f := t.facts[e.Worker]
-		isNews := e.State != Ready && (!known || before.State != e.State) ||
-			e.State == Ready && (known && (before.State != Ready || before.Start != e.Start) || f != nil)
-		if isNews {
-			changed = append(changed, Fact{e.Worker, e.State, e.Start, revision})
-		}
-		if f != nil && f.Revision > revision { // a peer's fact is newer: the worker stays restricted meanwhile
-			continue
-		}
-		if isNews && !cached {
-			t.addFact(&fact{Fact: Fact{e.Worker, e.State, e.Start, revision}, receivedAt: now})
-		}
-	}
-	t.OnEvent(now, &Event{Kind: ListApplied, Version: t.version, Cached: cached, Facts: changed})
-	t.updateRestrictions()
 }
 
 // completeUpTo returns the newest revision of which all facts are known here.
@@ -262,15 +277,18 @@
 		t.caughtUpTo = 0
 	}
 	t.checkDiscovery(now)
-	live, issued := now <= t.lastDiscovery+discoveryTimeout, t.confirmedRevision()
+	isLive := now <= t.lastDiscovery+discoveryTimeout
+	confirmed := t.confirmedRevision()
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(t.facts)) {
 		f := t.facts[name]
+		isInOwnList := f.Revision <= t.version.Revision
+		isUnconfirmed := f.from != "" && !isInOwnList && f.Revision > confirmed
+		isOverdue := isLive && now > max(f.receivedAt, t.discoveryLiveSince)+confirmTimeout
 		switch {
-		case now > f.receivedAt+factTTL && f.Revision <= t.version.Revision:
+		case isInOwnList && now > f.receivedAt+factTTL:
 			delete(t.facts, name)
-		case live && !f.doubted && f.from != "" && f.Revision > t.version.Revision && f.Revision > issued &&
-			now > max(f.receivedAt, t.discoveryLiveSince)+confirmTimeout:
+		case isUnconfirmed && isOverdue && !f.doubted:
 			f.doubted = true
 			changed = true
 			t.Stats.Doubted++
--- a/internal/dispatcher/httpfront/discovery.go
+++ b/internal/dispatcher/httpfront/discovery.go
@@ -18,14 +18,16 @@
 // DiscoveryClient watches discovery's list for as long as the process runs and passes every change to the dispatcher at
 // once. The exported callbacks may be nil.
 type DiscoveryClient struct {
-	BadLines       uint64                                                             // malformed lines: the list stayed as it was
-	BadEntries     uint64                                                             // invalid entries: the rest of their line was used
-	Watches        uint64                                                             // connections opened
-	Rejections     uint64                                                             // watches that an overloaded discovery rejected
-	Instances      int                                                                // dispatchers that ask the same discovery
-	OnVersion      func(addr netip.AddrPort, rev int64, cached bool, changed []Entry) // a version is in force
-	OnContact      func()                                                             // discovery has sent something, if only a keep-alive
-	OnFirstContact func()                                                             // the first version since the start is in force
+	BadLines   uint64 // malformed lines: the list stayed as it was
+	BadEntries uint64 // invalid entries: the rest of their line was used
+	Watches    uint64 // connections opened
+	Rejections uint64 // watches that an overloaded discovery rejected
+	Instances  int    // dispatchers that ask the same discovery
+
+	// OnVersion is called when a version of the list from addr is in force.
+	OnVersion      func(addr netip.AddrPort, rev int64, cached bool, changed []Entry)
+	OnContact      func() // discovery has sent something, if only a keep-alive
+	OnFirstContact func() // the first version since the start is in force
 
 	loop        *eventloop.Loop
 	log         *zap.Logger
@@ -144,42 +146,21 @@
 	cached := kind == loadbalancer.ListCached
 	if kind == loadbalancer.ListFull {
 		// The list is complete only for this front: workers that another front lists stay, so departures are explicit.
-		missing := maps.Clone(c.entries)
-		for _, entry := range list.Entries {
-			delete(missing, entry.UID)
-		}
-		for _, uid := range list.droppedUIDs { // an invalid entry: the backend stays as it was
-			delete(missing, uid)
-		}
-		for _, uid := range slices.Sorted(maps.Keys(missing)) {
-			list.Entries = append(list.Entries, Entry{UID: uid, State: "gone"})
-		}
+		c.addDepartures(&list)
 		kind = loadbalancer.ListDelta
 	}
-	members, listed := make([]dispatch.Member, 0, len(list.Entries)), map[loadbalancer.WorkerID]bool{}
+	members := make([]dispatch.Member, 0, len(list.Entries))
+	listed := map[loadbalancer.WorkerID]bool{}
 	for _, entry := range list.Entries {
-		if known, ok := c.entries[entry.UID]; ok && entry.State == "gone" {
+		if known, ok := c.entries[entry.UID]; ok && entry.State == stateGone {
 			// The last entry may lack what deduplication needs, such as the cell: it departs with the entry in force.
 			entry = known
-			entry.State = "gone"
+			entry.State = stateGone
 		}
-		worker := loadbalancer.Worker{
-			ID:        c.dispatcher.WorkerID(entry.UID),
-			Zone:      indexOf(c.zones, entry.Zone),
-			Kind:      indexOf(c.kinds, entry.Kind),
-			Cell:      entry.Cell,
-			State:     workerStates[entry.State],
-			Weight:    entry.Weight,
-			StartedAt: entry.StartedAtMs / 1000,
-		}
-		endpoint, _ := netip.ParseAddrPort(entry.Endpoint)
-		members = append(members, dispatch.Member{
-			Worker:  worker,
-			Backend: c.pool.ensureBackend(worker.ID, entry.UID, endpoint),
-			Name:    entry.UID,
-		})
-		listed[worker.ID] = worker.State != loadbalancer.Departed
-		if listed[worker.ID] {
+		member := c.newMember(&entry)
+		members = append(members, member)
+		listed[member.ID] = member.State != loadbalancer.Departed
+		if listed[member.ID] {
 			c.entries[entry.UID] = entry
 		} else {
 			delete(c.entries, entry.UID)
@@ -193,6 +174,39 @@
 	c.pool.removeDeparted(listed)
 }
 
+// addDepartures adds an entry for each backend in force that a full list does not name.
+func (c *DiscoveryClient) addDepartures(list *List) {
+	missing := maps.Clone(c.entries)
+	for _, entry := range list.Entries {
+		delete(missing, entry.UID)
+	}
+	for _, uid := range list.droppedUIDs { // an invalid entry: the backend stays as it was
+		delete(missing, uid)
+	}
+	for _, uid := range slices.Sorted(maps.Keys(missing)) {
+		list.Entries = append(list.Entries, Entry{UID: uid, State: stateGone})
+	}
+}
+
+// newMember returns the dispatcher's member for an entry.
+func (c *DiscoveryClient) newMember(entry *Entry) dispatch.Member {
+	worker := loadbalancer.Worker{
+		ID:        c.dispatcher.WorkerID(entry.UID),
+		Zone:      indexOf(c.zones, entry.Zone),
+		Kind:      indexOf(c.kinds, entry.Kind),
+		Cell:      entry.Cell,
+		State:     workerStates[entry.State],
+		Weight:    entry.Weight,
+		StartedAt: entry.StartedAtMs / 1000,
+	}
+	endpoint, _ := netip.ParseAddrPort(entry.Endpoint)
+	return dispatch.Member{
+		Worker:  worker,
+		Backend: c.pool.ensureBackend(worker.ID, entry.UID, endpoint),
+		Name:    entry.UID,
+	}
+}
+
 // indexOf returns the index of a name among the settings' names, or reads the name as an index; -1: neither.
 func indexOf(names []string, name string) int {
 	for i, n := range names {
--- a/internal/dispatcher/httpfront/discovery_watch.go
+++ b/internal/dispatcher/httpfront/discovery_watch.go
@@ -158,23 +158,13 @@
 
 // readStream reads what has come of the stream.
 func (w *watch) readStream() error {
-	conn := w.conn
 	if !w.headRead {
-		line, header, size, err := parseHead(conn.Bytes())
-		if errors.Is(err, ErrIncomplete) {
-			return nil
-		}
-		if err != nil {
+		if err := w.readHead(); err != nil || !w.headRead {
 			return err
 		}
-		if status := strings.TrimPrefix(line, "HTTP/1.1 "); !strings.HasPrefix(status, "200") || header.Get("Transfer-Encoding") == "" {
-			return responseError(status, header)
-		}
-		conn.Consume(size)
-		w.headRead = true
 	}
 	for {
-		chunk, size, last, err := ParseChunk(conn.Bytes(), MaxList)
+		chunk, size, last, err := ParseChunk(w.conn.Bytes(), MaxList)
 		if errors.Is(err, ErrIncomplete) {
 			return nil
 		}
@@ -185,19 +175,9 @@
 			return errors.New("platform: watch ended by discovery")
 		}
 		w.partial = append(w.partial, chunk...)
-		conn.Consume(size)
-		for {
-			line, rest, complete := bytes.Cut(w.partial, []byte("\n"))
-			if !complete {
-				break
-			}
-			w.partial = rest
-			line = bytes.TrimSpace(line)
-			if len(line) > 0 {
-				if err := w.handleLine(line); err != nil {
-					return err
-				}
-			}
+		w.conn.Consume(size)
+		if err := w.handleLines(); err != nil {
+			return err
 		}
 		if len(w.partial) > MaxList {
 			return errors.New("platform: watch line too long")
@@ -205,6 +185,42 @@
 	}
 }
 
+// readHead reads the head of the stream's answer, once it is complete.
+func (w *watch) readHead() error {
+	line, header, size, err := parseHead(w.conn.Bytes())
+	if errors.Is(err, ErrIncomplete) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	status := strings.TrimPrefix(line, "HTTP/1.1 ")
+	if !strings.HasPrefix(status, "200") || header.Get("Transfer-Encoding") == "" {
+		return responseError(status, header)
+	}
+	w.conn.Consume(size)
+	w.headRead = true
+	return nil
+}
+
+// handleLines handles the complete lines of what was read.
+func (w *watch) handleLines() error {
+	for {
+		line, rest, complete := bytes.Cut(w.partial, []byte("\n"))
+		if !complete {
+			return nil
+		}
+		w.partial = rest
+		line = bytes.TrimSpace(line)
+		if len(line) == 0 {
+			continue
+		}
+		if err := w.handleLine(line); err != nil {
+			return err
+		}
+	}
+}
+
 // handleLine puts one line in force. A line that is malformed or older than the one before is counted and ends the watch:
 // a change may have been in it, so the next watch requests what has changed since the list in force.
 func (w *watch) handleLine(line []byte) error {
--- a/internal/dispatcher/httpfront/list.go
+++ b/internal/dispatcher/httpfront/list.go
@@ -34,13 +34,14 @@
 // used, since one bad entry must not hold up the news that another backend drains. err reports a text that is no list.
 func ParseList(text []byte) (l List, bad []error, err error) {
 	if err = json.Unmarshal(text, &l); err != nil {
-		if l, bad, err = parseEntries(text, err); err != nil {
+		l, bad, err = parseEntries(text, err)
+		if err != nil {
 			return List{}, nil, err
 		}
 	}
 	bad = append(bad, l.dropInvalid()...)
-	if l.Full && len(l.Entries) == 0 && len(bad) > 0 {
-		return List{}, nil, fmt.Errorf("platform: list: full list without a valid entry: %w", bad[0]) // else all members would depart
+	if l.Full && len(l.Entries) == 0 && len(bad) > 0 { // all members would depart
+		return List{}, nil, fmt.Errorf("platform: list: full list without a valid entry: %w", bad[0])
 	}
 	return l, bad, nil
 }
@@ -72,7 +73,8 @@
 // dropInvalid drops invalid entries and returns why. Of two entries for one backend the one with the lower statePriority
 // is kept: withholding work loses nothing, while work sent to a draining backend breaks its contract.
 func (l *List) dropInvalid() (bad []error) {
-	index, kept := make(map[string]int, len(l.Entries)), l.Entries[:0]
+	index := make(map[string]int, len(l.Entries)) // in kept, by UID
+	kept := l.Entries[:0]
 	for _, entry := range l.Entries {
 		if err := entry.validate(); err != nil {
 			bad = append(bad, err)
@@ -105,10 +107,10 @@
 }
 
 func (e *Entry) validate() error {
-	if e.UID == "" || workerStates[e.State] == 0 && e.State != "gone" {
+	if e.UID == "" || workerStates[e.State] == 0 && e.State != stateGone {
 		return fmt.Errorf("platform: list: bad entry %q with state %q", e.UID, e.State)
 	}
-	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil && e.State != "gone" {
+	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil && e.State != stateGone {
 		return fmt.Errorf("platform: list: %s: %w", e.UID, err)
 	}
 	if math.IsNaN(e.StartedAtMs) || e.StartedAtMs < 0 {
@@ -117,8 +119,18 @@
 	return nil
 }
 
+// The states of a backend on the wire.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
 // statePriority orders the states by how much new work a backend in them gets.
-var statePriority = map[string]int{"gone": 0, "draining": 1, "ready": 2}
+var statePriority = map[string]int{stateGone: 0, stateDraining: 1, stateReady: 2}
 
 // workerStates maps the states of the wire; any other one is Departed.
-var workerStates = map[string]loadbalancer.WorkerState{"ready": loadbalancer.Ready, "draining": loadbalancer.Draining}
+var workerStates = map[string]loadbalancer.WorkerState{
+	stateReady:    loadbalancer.Ready,
+	stateDraining: loadbalancer.Draining,
+}
--- a/internal/dispatcher/httpfront/session_serve.go
+++ b/internal/dispatcher/httpfront/session_serve.go
@@ -88,14 +88,7 @@
 	call, budget, reason := s.front.parseCall(request)
 	class, known := s.front.classes[call.Class]
 	info := parseCallInfo(request.Header.Get("X-Call-Info"))
-	firstValue := func(names ...string) float64 {
-		for _, name := range names {
-			if value, ok := info[name]; ok {
-				return value
-			}
-		}
-		return 0
-	}
+	slots := firstValue(info, "coresNeeded", "slots")
 	switch {
 	case reason != "":
 		s.rejectMalformed(400, reason)
@@ -106,7 +99,7 @@
 	case s.front.openCalls[call.ID]: // the callbacks of two calls could not be told apart
 		s.rejectMalformed(409, "call id in use")
 		return
-	case firstValue("coresNeeded", "slots") > maxSlots:
+	case slots > maxSlots:
 		s.rejectMalformed(400, "more slots than any machine has")
 		return
 	case s.front.evacuatedSince > 0 && s.front.loop.Now() >= s.front.evacuatedSince+evacuationCutoff:
@@ -120,34 +113,47 @@
 		s.rejectCall(&call, class, dispatch.ReasonNoMemory, "")
 		return
 	}
-	hint, _ := strconv.ParseFloat(request.Header.Get("X-Call-Cost"), 64)
-	hint = hint / 1000
-	if !(hint > 0 && hint <= class.deadline) {
-		hint = 0 // one bad hint must not distort the mean of its class
-	}
 	s.callID = call.ID
 	s.reservedBytes = len(call.Body)
 	s.front.openCalls[call.ID] = true
-	s.request = s.front.dispatcher.Submit(dispatch.Job{
+	job := dispatch.Job{
 		Class:    class.index,
-		Slots:    firstValue("coresNeeded", "slots"),
-		Memory:   firstValue("memory"),
-		Work:     hint,
+		Slots:    slots,
+		Memory:   firstValue(info, "memory"),
+		Work:     hintedWork(request, class),
 		Deadline: s.front.loop.Now() + min(budget, class.deadline) - budgetMargin,
 		Payload:  &call,
 		ID:       call.ID,
 		Front:    frontName,
-	},
-		&requester{session: s, callID: call.ID})
+	}
+	s.request = s.front.dispatcher.Submit(job, &requester{session: s, callID: call.ID})
+}
+
+// firstValue returns the first of the named values that a call gives; 0: none.
+func firstValue(info map[string]float64, names ...string) float64 {
+	for _, name := range names {
+		if value, ok := info[name]; ok {
+			return value
+		}
+	}
+	return 0
+}
+
+// hintedWork returns the work in seconds that a request's header hints; 0: none that makes sense. One bad hint must not
+// distort the mean of its class.
+func hintedWork(request *Request, class class) float64 {
+	hintMS, _ := strconv.ParseFloat(request.Header.Get("X-Call-Cost"), 64)
+	hint := hintMS / 1000
+	if !(hint > 0 && hint <= class.deadline) {
+		return 0
+	}
+	return hint
 }
 
 // rejectCall rejects a call without submitting it; it is recorded all the same.
 func (s *session) rejectCall(call *Call, class class, reason dispatch.Reason, body string) {
-	s.front.dispatcher.RecordAnswer(dispatch.Job{
-		ID:    call.ID,
-		Front: frontName,
-		Class: class.index,
-	}, dispatch.Rejected, reason, s.front.retryAfter)
+	job := dispatch.Job{ID: call.ID, Front: frontName, Class: class.index}
+	s.front.dispatcher.RecordAnswer(job, dispatch.Rejected, reason, s.front.retryAfter)
 	s.reply(503, s.front.retryAfterHeader, []byte(body))
 }
 
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -48,11 +48,11 @@
 	fileNumber int
 }
 
-// Open recovers what is in a directory and starts a spool with a new file. reportError is called for later errors, on
-// the spool's goroutine.
-func Open(dir, name string, most int64, report func(error)) (*Spool, *Recovered, error) {
+// Open recovers what is in a directory and starts a spool with a new file. maxBytes bounds all files of the name together.
+// reportError is called for later errors, on the spool's goroutine.
+func Open(dir, name string, maxBytes int64, reportError func(error)) (*Spool, *Recovered, error) {
 	name = telemetry.SanitizeName(name)
-	found, last, err := recoverFiles(dir, name, most)
+	recovered, lastFile, err := recoverFiles(dir, name, maxBytes)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -64,14 +64,14 @@
 	s := &Spool{
 		dir:         dir,
 		name:        name,
-		maxBytes:    most,
+		maxBytes:    maxBytes,
 		queue:       make(chan []record, queueLength),
 		done:        make(chan struct{}),
-		reportError: report,
-		fileNumber:  last,
+		reportError: reportError,
+		fileNumber:  lastFile,
 	}
 	go s.run()
-	return s, found, nil
+	return s, recovered, nil
 }
 
 // AppendPeriod queues a closed period, with the names and slot assignments that its file needs. done is called
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -28,8 +28,11 @@
 	worker      loadbalancer.WorkerID
 	state       loadbalancer.WorkerState
 
-	reportAt, probedAt            float64 // 0: none since the assignment
-	inFlight, utilization, probed float64
+	reportAt    float64 // time of the last report; 0: none since the assignment
+	inFlight    float64 // by that report
+	utilization float64 // by that report
+	probedAt    float64 // time of the last probe; 0: none since the assignment
+	probed      float64 // jobs in flight by that probe
 }
 
 func (s *Set) addNodes() {
@@ -103,46 +106,58 @@
 		return
 	}
 	if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
-		named := map[string]bool{}
-		for i := range members {
-			named[members[i].Name] = true
+		n.releaseUnlisted(members)
+	}
+	locations := n.releaseDeparted(members)
+	freeSlots := s.options.MaxNodes - len(n.allocator.assigned)
+	for i := range members { // in the list's order, so that all dispatchers skip the same nodes
+		member := &members[i]
+		if _, hasSlot := n.allocator.assigned[member.Name]; hasSlot || member.State == loadbalancer.Departed {
+			continue
 		}
-		for node := range n.allocator.assigned {
-			if !named[node] {
-				n.releaseSlot(node)
-			}
+		freeSlots--
+		if freeSlots < 0 {
+			delete(locations, member.Name)
 		}
 	}
-	entering := map[string]location{}
+	s.values[n.excess] = float64(max(0, -freeSlots))
+	n.allocator.assign(locations)
 	for i := range members {
 		member := &members[i]
-		at := location{member.Zone, member.Kind, member.Cell}
-		if assigned, in := n.allocator.assigned[member.Name]; in && (member.State == loadbalancer.Departed || assigned.location != at) {
-			n.releaseSlot(member.Name)
-		}
-		if member.State != loadbalancer.Departed {
-			entering[member.Name] = at
+		if id, hasSlot := n.allocator.assigned[member.Name]; hasSlot && member.State != loadbalancer.Departed {
+			s.assignSlot(id, member)
 		}
 	}
-	room := s.options.MaxNodes - len(n.allocator.assigned)
-	for i := range members { // in the list's order, so that all dispatchers skip the same nodes
-		member := &members[i]
-		if _, in := n.allocator.assigned[member.Name]; !in && member.State != loadbalancer.Departed {
-			room--
-			if room < 0 {
-				delete(entering, member.Name)
-			}
+}
+
+// releaseUnlisted frees the slots of the nodes that a complete list does not name.
+func (n *nodes) releaseUnlisted(members []dispatch.Member) {
+	listed := map[string]bool{}
+	for i := range members {
+		listed[members[i].Name] = true
+	}
+	for node := range n.allocator.assigned {
+		if !listed[node] {
+			n.releaseSlot(node)
 		}
 	}
-	s.values[n.excess] = float64(max(0, -room))
-	n.allocator.assign(entering)
+}
+
+// releaseDeparted frees the slots of the nodes that have departed or moved. It returns the locations of the others.
+func (n *nodes) releaseDeparted(members []dispatch.Member) map[string]location {
+	locations := map[string]location{}
 	for i := range members {
-		if member := &members[i]; member.State != loadbalancer.Departed {
-			if assigned, in := n.allocator.assigned[member.Name]; in {
-				s.assignSlot(assigned, member)
-			}
+		member := &members[i]
+		at := location{member.Zone, member.Kind, member.Cell}
+		isDeparted := member.State == loadbalancer.Departed
+		if id, hasSlot := n.allocator.assigned[member.Name]; hasSlot && (isDeparted || id.location != at) {
+			n.releaseSlot(member.Name)
+		}
+		if !isDeparted {
+			locations[member.Name] = at
 		}
 	}
+	return locations
 }
 
 // releaseSlot frees a node's slot. Attempts still in flight there count for the slot until another node gets it.
--- a/loadbalancer/learning.go
+++ b/loadbalancer/learning.go
@@ -51,14 +51,22 @@
 	} else { // meanSlots is only an estimate: slow start trusts half of it
 		b.minSlots = math.Max(1, b.meanSlots/2)
 	}
+	if b.ReportsStart {
+		b.observeQueues(now)
+	}
+}
+
+// observeQueues adds to the workers' queues the own jobs that have been sent and have not started.
+func (b *Balancer) observeQueues(now float64) {
 	for _, request := range b.unanswered {
-		for j := range request.attempts {
-			attempt := &request.attempts[j]
-			if !b.ReportsStart || !attempt.inFlight || attempt.startedAt > 0 {
+		for i := range request.attempts {
+			attempt := &request.attempts[i]
+			if !attempt.inFlight || attempt.startedAt > 0 {
 				continue
 			}
+			worker := attempt.worker
+			wait := now - attempt.sentAt
 			// A shorter wait may be the latency of the progress update.
-			worker, wait := attempt.worker, now-attempt.sentAt
 			if wait > b.zoneLatencies[b.zoneOf(worker)]+b.sweepInterval {
 				worker.longestWait = math.Max(worker.longestWait, wait)
 				worker.queuedSlots += request.slotsNeeded
