--- a/grpcbalancer/dispatcher_test.go
+++ b/grpcbalancer/dispatcher_test.go
@@ -240,7 +240,10 @@
 // Guards against methods nobody has classed being sent, and against silence outliving the caller's deadline.
 func TestUnknownMethodAndTimeout(t *testing.T) {
 	r := newRig(t, loadbalancer.RetryUnsafe, 1)
-	r.script = func(_ int, _ *server, ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
+	r.script = func(_ int, _ *server, ctx context.Context) error {
+		<-ctx.Done()
+		return ctx.Err()
+	}
 	if err := r.check(300 * time.Millisecond); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("silence: %v", err)
 	}
--- a/internal/dispatcher/cluster/cluster.go
+++ b/internal/dispatcher/cluster/cluster.go
@@ -17,9 +17,11 @@
 
 // Cluster is this dispatcher's membership in its cluster.
 type Cluster struct {
-	Sent, Received, Unsent uint64 // datagrams
-	BytesSent              uint64
-	Drops                  [dropReasons]uint64 // datagrams received and dropped, by reason; see DropNames
+	Sent      uint64 // datagrams
+	Received  uint64 // datagrams
+	Unsent    uint64 // datagrams that the socket did not take
+	BytesSent uint64
+	Drops     [dropReasons]uint64 // datagrams received and dropped, by reason; see DropNames
 
 	loop            *eventloop.Loop
 	log             *zap.Logger
@@ -79,8 +81,12 @@
 // join starts the node on the open socket.
 func (c *Cluster) join() {
 	c.socket.SetHandler(c.handleDatagram)
-	c.log.Info("fleet: member", zap.String("fleet", c.options.Cluster), zap.String("name", c.options.Name),
-		zap.Stringer("bind", c.options.Bind), zap.Stringer("advertise", c.options.Advertise), zap.Uint64("life", c.node.Generation))
+	c.log.Info("fleet: member",
+		zap.String("fleet", c.options.Cluster),
+		zap.String("name", c.options.Name),
+		zap.Stringer("bind", c.options.Bind),
+		zap.Stringer("advertise", c.options.Advertise),
+		zap.Uint64("life", c.node.Generation))
 	c.node.Start(c.loop.Now())
 	c.flush()
 	c.scheduleTick()
@@ -147,8 +153,13 @@
 // SameIdentity reports whether options differ from the current ones at most in what UpdateOptions changes.
 func (c *Cluster) SameIdentity(options *Options) bool {
 	own := &c.options
-	return own.Cluster == options.Cluster && own.Name == options.Name && own.Bind == options.Bind && own.Advertise == options.Advertise &&
-		own.ProbeInterval == options.ProbeInterval && own.DeadTTL == options.DeadTTL && own.LeaseTerm == options.LeaseTerm
+	return own.Cluster == options.Cluster &&
+		own.Name == options.Name &&
+		own.Bind == options.Bind &&
+		own.Advertise == options.Advertise &&
+		own.ProbeInterval == options.ProbeInterval &&
+		own.DeadTTL == options.DeadTTL &&
+		own.LeaseTerm == options.LeaseTerm
 }
 
 // SameBind reports whether options have this member's address.
--- a/internal/dispatcher/cluster/quota/calculator.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -1,10 +1,10 @@
-// Package quota computes, from the cluster's view, the share of a cold worker's budget that this dispatcher may use. It
-// is pure, and errs on the safe side: members whose views differ never use more together than the budget.
+// Package quota computes, from the cluster's view, the share of the budget of a worker in slow start that this dispatcher
+// may use. It is pure, and errs on the safe side: members whose views differ never use more together than the budget.
 //
-// Of the members that a dispatcher counts, the holders of a cold worker's turn are the first in an order that depends
-// on the worker, the turn and the names alone. A dispatcher that counts more members than another comes no earlier in
-// its own order. So as long as every dispatcher counts all that may be sending, the shares of the holders sum to at
-// most one budget, however their views differ otherwise. Hence
+// Of the members that a dispatcher counts, the holders of the turn of a worker in slow start are the first in an order
+// that depends on the worker, the turn and the names alone. A dispatcher that counts more members than another comes no
+// earlier in its own order. So as long as every dispatcher counts all that may be sending, the shares of the holders sum
+// to at most one budget, however their views differ otherwise. Hence
 //
 //   - a member that leaves is not counted from then on: it announces that once it has stopped;
 //   - a dead member may be isolated and sending. It is counted until StopTimeout has passed, and longer at members
@@ -60,7 +60,7 @@
 	CutOff       Reason = "cut off"   // contact with less than half: the others may continue without this member
 )
 
-// Share is this dispatcher's share of a cold worker's budget.
+// Share is this dispatcher's share of the budget of a worker in slow start.
 type Share struct {
 	Instances int      // dispatchers among whom the budget is divided
 	Index     int      // of this one
@@ -99,26 +99,10 @@
 	if !view.Contacted {
 		return configured
 	}
-	known, alive := 0, 0
-	for i := range view.Members {
-		switch member := &view.Members[i]; member.State {
-		case membership.Alive:
-			known++
-			alive++
-		case membership.Suspect, membership.Dead:
-			known++
-		}
-	}
-	share := Share{Fraction: 1, Reason: Full}
-	switch {
-	case view.Withdrawn || view.Left || 2*alive < known:
-		share.Fraction = CautiousFraction
-		share.Reason = CutOff
-	case !view.Recognized, len(view.Members) < c.Config.Instances && now < view.JoinedAt+joinProbeIntervals*c.Config.ProbeInterval:
+	known, alive := countMembers(view)
+	share := Share{Fraction: 1, Reason: c.reason(now, view, known, alive)}
+	if share.Reason == CutOff || share.Reason == Unrecognized {
 		share.Fraction = CautiousFraction
-		share.Reason = Unrecognized
-	case 2*alive == known:
-		share.Reason = Waiting
 	}
 	switch {
 	case share.Reason != Full:
@@ -156,6 +140,35 @@
 	return share
 }
 
+// countMembers returns the number of members that have not left, and of those in contact.
+func countMembers(view *membership.View) (known, alive int) {
+	for i := range view.Members {
+		switch view.Members[i].State {
+		case membership.Alive:
+			known++
+			alive++
+		case membership.Suspect, membership.Dead:
+			known++
+		}
+	}
+	return known, alive
+}
+
+// reason returns what a share is based on after the first contact.
+func (c *Calculator) reason(now float64, view *membership.View, known, alive int) Reason {
+	hasJustJoined := now < view.JoinedAt+joinProbeIntervals*c.Config.ProbeInterval
+	knowsTooFew := len(view.Members) < c.Config.Instances
+	switch {
+	case view.Withdrawn || view.Left || 2*alive < known:
+		return CutOff
+	case !view.Recognized || knowsTooFew && hasJustJoined:
+		return Unrecognized
+	case 2*alive == known:
+		return Waiting
+	}
+	return Full
+}
+
 // mayBeSending reports whether a member may be sending. majorityEstablished says whether this side has been the
 // majority for StopTimeout.
 func (c *Calculator) mayBeSending(now float64, member *membership.Member, majorityEstablished bool, stopTimeout float64) bool {
--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -206,8 +206,11 @@
 // skipped the older version, and so never have transmitted the change.
 func (t *Table) refute(now float64, f Fact) {
 	own, listed := t.workers[f.Worker]
-	if before := t.facts[f.Worker]; listed && own.State == Ready && f.State != Ready && f.Revision < t.version.Revision &&
-		!t.cached && (before == nil || before.Revision < t.version.Revision) {
+	isRefuted := listed && own.State == Ready && f.State != Ready && f.Revision < t.version.Revision
+	if !isRefuted || t.cached {
+		return
+	}
+	if known := t.facts[f.Worker]; known == nil || known.Revision < t.version.Revision {
 		t.addFact(&fact{Fact: Fact{f.Worker, Ready, own.Start, t.version.Revision}, receivedAt: now})
 	}
 }
@@ -218,7 +221,8 @@
 		t.refute(now, f)
 		return false
 	}
-	if o := t.facts[f.Worker]; o != nil && (f.Revision < o.Revision || f.Revision == o.Revision && f.State <= o.State) {
+	known := t.facts[f.Worker]
+	if known != nil && (f.Revision < known.Revision || f.Revision == known.Revision && f.State <= known.State) {
 		return false
 	}
 	t.Stats.FactsAccepted++
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -46,8 +46,10 @@
 }
 
 func (o *Order) validate() error {
-	if o.Member == "" || len(o.Member) > maxMemberLength || len(o.By) > maxMemberLength || o.Number == 0 ||
-		o.Number > maxOrderNumber || !(o.At >= 0 && o.At < 1e11) {
+	areNamesValid := o.Member != "" && len(o.Member) <= maxMemberLength && len(o.By) <= maxMemberLength
+	isNumberValid := o.Number > 0 && o.Number <= maxOrderNumber
+	isTimeValid := o.At >= 0 && o.At < maxClock
+	if !areNamesValid || !isNumberValid || !isTimeValid {
 		return errors.New("versions: an order that makes no sense")
 	}
 	return nil
--- a/internal/dispatcher/cluster/versions/simulation_test.go
+++ b/internal/dispatcher/cluster/versions/simulation_test.go
@@ -27,7 +27,11 @@
 		return table
 	}
 	net.StartAll(1)
-	if _, ok := net.RunUntil(120, 0.5, func() bool { one, alive := net.Converged(); return loss > 0.1 || one && alive == n }); !ok {
+	_, ok := net.RunUntil(120, 0.5, func() bool {
+		isOneView, alive := net.Converged()
+		return loss > 0.1 || isOneView && alive == n
+	})
+	if !ok {
 		t.Fatal("no fleet")
 	}
 	net.Run(net.Now + 15)
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -46,11 +46,12 @@
 	timer      Timer   // expires it
 	deadlineAt float64 // the request's deadline, or earlier by the balancer's timeout
 	ended      bool
-
-	sentAt, startedAt, endedAt float64 // 0: not yet
-	hedged                     bool    // another attempt was running when it was sent
-	auditMark                  uint64  // the Dispatcher's when it was sent
-	result                     loadbalancer.Result
+	sentAt     float64
+	startedAt  float64 // 0: no start was reported
+	endedAt    float64 // 0: not yet
+	hedged     bool    // another attempt was running when it was sent
+	auditMark  uint64  // the Dispatcher's when it was sent
+	result     loadbalancer.Result
 }
 
 // ConfirmSend reports whether an attempt whose first byte has not gone out may still be sent: its request must be open,
--- a/internal/dispatcher/dispatch/dispatcher_test.go
+++ b/internal/dispatcher/dispatch/dispatcher_test.go
@@ -260,7 +260,10 @@
 			t.Errorf("the balancer sees (-want +got):\n%s", diff)
 		}
 	}
-	apply := func(change ExclusionChange, known bool) { t.Helper(); b.applyExclusion(change, known) }
+	apply := func(change ExclusionChange, known bool) {
+		t.Helper()
+		b.applyExclusion(change, known)
+	}
 	list(loadbalancer.ListFull, loadbalancer.Ready, 100)
 	apply(b.dispatcher.Exclude("nobody"), false)
 	apply(b.dispatcher.Include("nobody"), false)
--- a/internal/dispatcher/dispatch/reason.go
+++ b/internal/dispatcher/dispatch/reason.go
@@ -28,9 +28,25 @@
 )
 
 // reasonNames are the names in metrics and logs.
-var reasonNames = [ReasonCount]string{"", "no_member", "no_room", "full", "unreachable", "withdrawn", "too_late", "backend_error",
-	"broken", "silent", "cancelled", "unusable", "unknown_class", "overdue", "evacuated", "no_memory",
-	"out_of_lease"}
+var reasonNames = [ReasonCount]string{
+	ReasonNone:             "",
+	ReasonNoReadyMember:    "no_member",
+	ReasonNoCapacity:       "no_room",
+	ReasonRejected:         "full",
+	ReasonUnreachable:      "unreachable",
+	ReasonWithdrawn:        "withdrawn",
+	ReasonDeadlineExceeded: "too_late",
+	ReasonBackendError:     "backend_error",
+	ReasonConnectionLost:   "broken",
+	ReasonTimeout:          "silent",
+	ReasonCancelled:        "cancelled",
+	ReasonInvalidJob:       "unusable",
+	ReasonUnknownClass:     "unknown_class",
+	ReasonOverdue:          "overdue",
+	ReasonEvacuated:        "evacuated",
+	ReasonNoMemory:         "no_memory",
+	ReasonLeaseExpired:     "out_of_lease",
+}
 
 // String returns the reason's name in metrics and logs; it is empty for ReasonNone.
 func (r Reason) String() string { return reasonNames[r] }
--- a/internal/dispatcher/exporter/exporter_test.go
+++ b/internal/dispatcher/exporter/exporter_test.go
@@ -48,7 +48,10 @@
 	b.exporter.Start()
 	go func() { b.done <- loop.Run() }()
 	t.Cleanup(func() {
-		b.onLoop(func() { b.exporter.Stop(); loop.Stop() })
+		b.onLoop(func() {
+			b.exporter.Stop()
+			loop.Stop()
+		})
 		if err := <-b.done; err != nil {
 			t.Error(err)
 		}
@@ -59,7 +62,10 @@
 // onLoop runs a function on the loop's goroutine and waits for it.
 func (b *testbed) onLoop(what func()) {
 	done := make(chan struct{})
-	b.loop.Post(func() { what(); close(done) })
+	b.loop.Post(func() {
+		what()
+		close(done)
+	})
 	<-done
 }
 
@@ -176,7 +182,10 @@
 				c, o := startCarbon(t, pickle)
 				b := startTestbed(t, 1<<20, NewGraphite(o))
 				total := 0
-				fault(b, c, func(n int) { b.closePeriods(n); total += n })
+				fault(b, c, func(n int) {
+					b.closePeriods(n)
+					total += n
+				})
 				b.expectPeriods(&c.Store, servedSeries, total)
 				b.eventually("an empty buffer", func() bool { return b.buffered() == 0 })
 			})
@@ -190,9 +199,12 @@
 }
 
 // idleAfter reports whether more than that many periods were closed and nothing is buffered.
-func (b *testbed) idleAfter(after uint64) (yes bool) {
-	b.onLoop(func() { n, _ := b.exporter.Ring().Size(); yes = n == 0 && b.exporter.ClosedPeriods > after })
-	return yes
+func (b *testbed) idleAfter(after uint64) (idle bool) {
+	b.onLoop(func() {
+		buffered, _ := b.exporter.Ring().Size()
+		idle = buffered == 0 && b.exporter.ClosedPeriods > after
+	})
+	return idle
 }
 
 func (b *testbed) buffered() (n int) {
@@ -255,7 +267,10 @@
 		t.Fatal(err)
 	}
 	b.closePeriods(2)
-	b.eventually("the last period", func() bool { v, _ := c.Last(servedSeries); return v == 10 })
+	b.eventually("the last period", func() bool {
+		value, _ := c.Last(servedSeries)
+		return value == 10
+	})
 	if n := c.Accepted(); n > 4 {
 		t.Errorf("%d connections", n)
 	}
@@ -275,7 +290,10 @@
 	if err := away.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("the last period", func() bool { v, _ := away.Last(servedSeries); return v == 60 })
+	b.eventually("the last period", func() bool {
+		value, _ := away.Last(servedSeries)
+		return value == 60
+	})
 	var dropped uint64
 	b.onLoop(func() { dropped = b.exporter.Ring().Dropped })
 	if got := len(away.Timestamps(servedSeries)); dropped == 0 || got+int(dropped) != 60 || away.CounterIncrease(servedSeries) != 60 {
@@ -358,7 +376,10 @@
 				b.eventually("all of it", func() bool { return b.buffered() == 0 })
 			}
 		},
-		"slow": func(_ *testbed, c *receivers.Collectd, n func(int)) { c.SetReadSize(3000); n(4) },
+		"slow": func(_ *testbed, c *receivers.Collectd, n func(int)) {
+			c.SetReadSize(3000)
+			n(4)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -368,7 +389,10 @@
 			}
 			b := startTestbed(t, 1<<20, NewCollectd(c.Addr(), 0.4))
 			total := 0
-			fault(b, c, func(n int) { b.closePeriods(n); total += n })
+			fault(b, c, func(n int) {
+				b.closePeriods(n)
+				total += n
+			})
 			b.expectPeriods(&c.Store, servedCollectdSeries, total)
 			b.eventually("an empty buffer", func() bool { return b.buffered() == 0 })
 		})
--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -32,28 +32,9 @@
 	case command == "show unique":
 		return s.jobsText(func(j *job) string { return j.unique })
 	case command == "cancel job" && len(words) == 3:
-		j := s.jobs[words[2]]
-		if j == nil || j.running > 0 {
-			return "ERR NOT_FOUND No+such+waiting+job\r\n"
-		}
-		for _, w := range j.waiters {
-			w.send(WorkFail, j.handle)
-		}
-		j.abandon()
-		return "OK\r\n"
+		return s.cancelJob(words[2])
 	case words[0] == "maxqueue" && len(words) >= 2:
-		fn := s.functions[words[1]]
-		size := 0
-		if len(words) > 2 {
-			var err error
-			if size, err = strconv.Atoi(words[2]); err != nil {
-				return "ERR INVALID_ARGUMENTS Size+is+no+number\r\n"
-			}
-		}
-		if fn != nil {
-			fn.maxQueue = max(size, 0)
-		}
-		return "OK\r\n"
+		return s.setMaxQueue(words[1], words[2:])
 	case command == "create function" && len(words) == 3, command == "drop function" && len(words) == 3:
 		return "ERR NOT_SUPPORTED Functions+stand+in+the+operator's+file\r\n"
 	case words[0] == "version":
@@ -63,15 +44,49 @@
 	case words[0] == "verbose":
 		return "OK INFO\r\n"
 	case words[0] == "shutdown":
-		if !s.config.AllowShutdown || s.Shutdown == nil {
-			return "ERR NOT_ALLOWED allow_shutdown+is+off\r\n"
-		}
-		s.loop.Defer(s.Shutdown)
-		return "OK\r\n"
+		return s.shutDown()
 	}
 	return "ERR UNKNOWN_COMMAND Unknown+server+command\r\n"
 }
 
+// cancelJob ends a job that does not run yet, and tells its clients that it failed.
+func (s *Server) cancelJob(handle string) string {
+	j := s.jobs[handle]
+	if j == nil || j.running > 0 {
+		return "ERR NOT_FOUND No+such+waiting+job\r\n"
+	}
+	for _, waiter := range j.waiters {
+		waiter.send(WorkFail, j.handle)
+	}
+	j.abandon()
+	return "OK\r\n"
+}
+
+// setMaxQueue limits the jobs of a function that wait. Without a size, or with one below 1, there is no limit.
+func (s *Server) setMaxQueue(name string, sizes []string) string {
+	size := 0
+	if len(sizes) > 0 {
+		var err error
+		size, err = strconv.Atoi(sizes[0])
+		if err != nil {
+			return "ERR INVALID_ARGUMENTS Size+is+no+number\r\n"
+		}
+	}
+	if function := s.functions[name]; function != nil {
+		function.maxQueue = max(size, 0)
+	}
+	return "OK\r\n"
+}
+
+// shutDown ends the process, where the operator allows that.
+func (s *Server) shutDown() string {
+	if !s.config.AllowShutdown || s.Shutdown == nil {
+		return "ERR NOT_ALLOWED allow_shutdown+is+off\r\n"
+	}
+	s.loop.Defer(s.Shutdown)
+	return "OK\r\n"
+}
+
 func boolToInt(value bool) int {
 	if value {
 		return 1
--- a/internal/dispatcher/gearman/config.go
+++ b/internal/dispatcher/gearman/config.go
@@ -48,14 +48,17 @@
 	Kind    string `toml:"kind"`
 	Cell    int    `toml:"cell"`
 
-	prefix               netip.Prefix
-	zoneIndex, kindIndex int
+	prefix    netip.Prefix
+	zoneIndex int // in the settings
+	kindIndex int // in the settings
 }
 
 // SettingsNames are the names of the settings that a Config may refer to, in the order of their indices.
 type SettingsNames struct {
-	Classes, Zones, Kinds []string
-	Deadlines             []float64 // seconds, by class
+	Classes   []string
+	Zones     []string
+	Kinds     []string
+	Deadlines []float64 // seconds, by class
 }
 
 // ReadConfig reads the operator's file, checks it against the settings and applies defaults. Errors name the file and
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -184,10 +184,13 @@
 func (s *Server) closeIdle(allowed func(*peer) bool) bool {
 	var best *peer
 	s.peers.Each(func(_ slotmap.Handle, p *peer) {
-		switch {
-		case p.worker != nil || p.pendingJobs > 0 || !allowed(p) || best != nil && (p.sentMessage && !best.sentMessage ||
-			p.sentMessage == best.sentMessage && p.idleOrder > best.idleOrder):
-		case p.conn.Alive() || !p.sentMessage && len(p.conn.Bytes()) > 0:
+		if p.worker != nil || p.pendingJobs > 0 || !allowed(p) {
+			return
+		}
+		if best != nil && !p.isClosedBefore(best) {
+			return
+		}
+		if p.conn.Alive() || !p.sentMessage && len(p.conn.Bytes()) > 0 {
 			best = p
 		}
 	})
@@ -197,6 +200,14 @@
 	return best != nil
 }
 
+// isClosedBefore reports whether closeIdle prefers to close this one of two idle clients.
+func (p *peer) isClosedBefore(other *peer) bool {
+	if p.sentMessage != other.sentMessage {
+		return !p.sentMessage
+	}
+	return p.idleOrder <= other.idleOrder
+}
+
 // Reload applies a changed operator's file and returns the names of the parts that take effect only after a restart.
 // Connected workers keep the zone, kind and cell that they connected with.
 func (s *Server) Reload(config *Config) (restart []string) {
--- a/internal/dispatcher/httpfront/call.go
+++ b/internal/dispatcher/httpfront/call.go
@@ -10,17 +10,21 @@
 
 // Call is a client's job in the platform's form.
 type Call struct {
-	ID, Class, Method, Target, IdempotencyKey string
-	Body                                      []byte
+	ID             string
+	Class          string
+	Method         string
+	Target         string
+	IdempotencyKey string
+	Body           []byte
 }
 
 // parseCall reads a client's request. The budget is in seconds. reason is empty, or says why the request cannot be
 // forwarded: what goes on to a backend holds visible ASCII only, and the ID nothing that ends a path.
 func (f *Front) parseCall(request *Request) (call Call, budget float64, reason string) {
-	class, ok1 := request.Header.GetUnique("X-Call-Class")
-	id, ok2 := request.Header.GetUnique("X-Call-Id")
-	budgetText, ok3 := request.Header.GetUnique("X-Budget-Ms")
-	key, ok4 := request.Header.GetUnique("Idempotency-Key")
+	class, isClassUnique := request.Header.GetUnique("X-Call-Class")
+	id, isIDUnique := request.Header.GetUnique("X-Call-Id")
+	budgetText, isBudgetUnique := request.Header.GetUnique("X-Budget-Ms")
+	key, isKeyUnique := request.Header.GetUnique("Idempotency-Key")
 	path, _, _ := strings.Cut(strings.TrimPrefix(request.Target, "/"), "?")
 	pathClass, _, _ := strings.Cut(path, "/")
 	call = Call{
@@ -34,7 +38,7 @@
 	// ParseUint, since ParseFloat would accept Inf, hexadecimal and 1e300.
 	milliseconds, err := strconv.ParseUint(budgetText, 10, 32)
 	switch {
-	case !ok1 || !ok2 || !ok3 || !ok4:
+	case !isClassUnique || !isIDUnique || !isBudgetUnique || !isKeyUnique:
 		reason = "a field is there twice"
 	case id == "" || len(id) > maxCallID || !httpwire.IsVisibleASCII(id) || strings.ContainsAny(id, `/?#%"\`):
 		reason = "X-Call-Id missing or bad"
--- a/internal/dispatcher/httpfront/discovery_test.go
+++ b/internal/dispatcher/httpfront/discovery_test.go
@@ -77,7 +77,10 @@
 		{"with a list", func(d *DiscoveryClient) { d.Start(known) }, 1},
 		{"with none", func(d *DiscoveryClient) { d.Start(List{}) }, 1},
 		{"in an upgrade", func(d *DiscoveryClient) { d.StartWithList(addr, known) }, 1},
-		{"address changed meanwhile", func(d *DiscoveryClient) { d.Start(known); d.SetAddress(netip.MustParseAddrPort("127.0.0.1:2")) }, 2},
+		{"address changed meanwhile", func(d *DiscoveryClient) {
+			d.Start(known)
+			d.SetAddress(netip.MustParseAddrPort("127.0.0.1:2"))
+		}, 2},
 	} {
 		loop, err := eventloop.NewLoop(9)
 		if err != nil {
--- a/internal/dispatcher/httpfront/front_drain.go
+++ b/internal/dispatcher/httpfront/front_drain.go
@@ -36,9 +36,14 @@
 	f.closingIdle = true
 	now := f.loop.Now()
 	f.sessions.Each(func(_ slotmap.Handle, s *session) {
-		switch {
-		case !s.idle() || s.hasCallback || !s.hasSent && (s.fromBackend || now < s.acceptedAt+firstRequestGrace):
-		case s.conn.Alive(): // else unread input has come
+		if !s.idle() || s.hasCallback {
+			return
+		}
+		mayBring := s.fromBackend || now < s.acceptedAt+firstRequestGrace // a callback, or its first request
+		if !s.hasSent && mayBring {
+			return
+		}
+		if s.conn.Alive() { // else unread input has come
 			s.end()
 		}
 	})
--- a/internal/dispatcher/httpfront/front_evict.go
+++ b/internal/dispatcher/httpfront/front_evict.go
@@ -20,7 +20,10 @@
 	bestRank := 0
 	f.sessions.Each(func(_ slotmap.Handle, s *session) {
 		rank := s.evictionRank()
-		if rank == 0 || !mayEvict(s) || best != nil && (rank < bestRank || rank == bestRank && s.idleOrder > best.idleOrder) {
+		if rank == 0 || !mayEvict(s) {
+			return
+		}
+		if best != nil && (rank < bestRank || rank == bestRank && s.idleOrder > best.idleOrder) {
 			return
 		}
 		if rank == rankIncomplete || s.conn.Alive() { // else unread input has come, or the peer has disconnected
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -32,7 +32,8 @@
 
 // offerToSuccessor passes the session on if it is idle; false if it stays.
 func (s *session) offerToSuccessor() bool {
-	if s.front.successor == nil || s.callID != "" || s.awaitingForward || s.conn.Unsent() > 0 || !s.conn.Open() {
+	isBusy := s.callID != "" || s.awaitingForward || s.conn.Unsent() > 0
+	if s.front.successor == nil || isBusy || !s.conn.Open() {
 		return false
 	}
 	if !s.front.successor(SessionState{s.hasRequested, s.hasSent, s.hasCallback, s.acceptedAt}, s.conn) {
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -12,76 +12,81 @@
 
 // classSeries has the index of the first series of each group of a class.
 type classSeries struct {
-	name               string
-	answers            int // followed by the other verdicts
-	rejected, failed   int // followed by the other reasons
-	attempts           int // first attempts, then retries, hedged requests, and hedged requests that won
-	results            int // followed by the other results
-	latency, startWait histogram
+	name      string
+	answers   int // followed by the other verdicts
+	rejected  int // followed by the other reasons
+	failed    int // followed by the other reasons
+	attempts  int // first attempts, then retries, hedged requests, and hedged requests that won
+	results   int // followed by the other results
+	latency   histogram
+	startWait histogram
+}
+
+// attemptDocs describes the series of attempts, in the order of the indices from classSeries.attempts on.
+var attemptDocs = []SeriesDoc{
+	{Pattern: "first", Help: "First attempts that have ended."},
+	{Pattern: "repeats", Help: "Attempts made after another had ended, that have ended themselves."},
+	{Pattern: "copies", Help: "Attempts made while another was out, that have ended."},
+	{Pattern: "copies_won", Help: "Copies that served their job."},
 }
 
 func (s *Set) addClasses() {
 	for _, name := range ClassNames(s.options.Classes) {
-		c := classSeries{name: name}
-		prefix := "classes." + name + "."
-		add := func(path string, d SeriesDoc) int {
-			d.Pattern = "classes.<class>." + path
-			s.describe(d)
-			return s.add(prefix+path, d.Kind)
-		}
-		first := func(i *int, at, n int) {
-			if n == 0 {
-				*i = at
-			}
-		}
-		for v := range NumVerdicts {
-			first(&c.answers, add("answers."+v.String(), SeriesDoc{Unit: "jobs", Help: verdictHelp[v]}), int(v))
-		}
-		for r := range dispatch.ReasonCount {
-			first(&c.rejected, add("refused."+reasonName(r), SeriesDoc{
-				Unit: "jobs",
-				Help: "Jobs refused or returned because: " + reasonHelp[r] + ".",
-			}), int(r))
-		}
-		for r := range dispatch.ReasonCount {
-			first(&c.failed, add("failed."+reasonName(r), SeriesDoc{
-				Unit: "jobs",
-				Help: "Jobs failed because: " + reasonHelp[r] + ".",
-			}), int(r))
-		}
-		for i, d := range []SeriesDoc{
-			{Pattern: "first", Help: "First attempts that have ended."},
-			{Pattern: "repeats", Help: "Attempts made after another had ended, that have ended themselves."},
-			{Pattern: "copies", Help: "Attempts made while another was out, that have ended."},
-			{Pattern: "copies_won", Help: "Copies that served their job."},
-		} {
-			first(&c.attempts, add("fetches."+d.Pattern, SeriesDoc{Unit: "attempts", Help: d.Help}), i)
-		}
-		for r, name := range ResultNames {
-			first(&c.results, add("fetches.end_"+name, SeriesDoc{Unit: "attempts", Help: "Attempts that ended as " + name + "."}), r)
-		}
-		for _, l := range []struct {
-			to         *histogram
-			name, help string
-		}{
-			{&c.latency, "latency", "From a job's arrival to its answer, of those served in the period"},
-			{&c.startWait, "start_wait", "From a job's arrival to its start, of those served in the period whose start was told"},
-		} {
-			for i, q := range quantiles {
-				at := add(l.name+"."+q.name+"_ms", SeriesDoc{
-					Kind: Gauge,
-					Unit: "ms",
-					Help: l.help + ": " + q.name + ". None without answers.",
-				})
-				if i == 0 {
-					*l.to = *newLatency(at)
-				}
-			}
-		}
-		s.classes = append(s.classes, c)
+		s.classes = append(s.classes, s.addClass(name))
 	}
 }
 
+// addClass adds the series of a class. Their order is that of the encoded values.
+func (s *Set) addClass(name string) classSeries {
+	c := classSeries{name: name}
+	c.answers = s.table.Len()
+	for verdict := range NumVerdicts {
+		s.addClassSeries(name, "answers."+verdict.String(), SeriesDoc{Unit: "jobs", Help: verdictHelp[verdict]})
+	}
+	c.rejected = s.table.Len()
+	for reason := range dispatch.ReasonCount {
+		help := "Jobs refused or returned because: " + reasonHelp[reason] + "."
+		s.addClassSeries(name, "refused."+reasonName(reason), SeriesDoc{Unit: "jobs", Help: help})
+	}
+	c.failed = s.table.Len()
+	for reason := range dispatch.ReasonCount {
+		help := "Jobs failed because: " + reasonHelp[reason] + "."
+		s.addClassSeries(name, "failed."+reasonName(reason), SeriesDoc{Unit: "jobs", Help: help})
+	}
+	c.attempts = s.table.Len()
+	for _, doc := range attemptDocs {
+		s.addClassSeries(name, "fetches."+doc.Pattern, SeriesDoc{Unit: "attempts", Help: doc.Help})
+	}
+	c.results = s.table.Len()
+	for _, result := range ResultNames {
+		s.addClassSeries(name, "fetches.end_"+result, SeriesDoc{Unit: "attempts", Help: "Attempts that ended as " + result + "."})
+	}
+	c.latency = s.addClassHistogram(name, "latency", "From a job's arrival to its answer, of those served in the period")
+	c.startWait = s.addClassHistogram(name, "start_wait",
+		"From a job's arrival to its start, of those served in the period whose start was told")
+	return c
+}
+
+// addClassSeries adds one series of a class. The doc's pattern is derived from its path below the class.
+func (s *Set) addClassSeries(class, path string, doc SeriesDoc) {
+	doc.Pattern = "classes.<class>." + path
+	s.describe(doc)
+	s.add("classes."+class+"."+path, doc.Kind)
+}
+
+// addClassHistogram adds the quantiles of a latency of a class.
+func (s *Set) addClassHistogram(class, name, help string) histogram {
+	first := s.table.Len()
+	for _, quantile := range quantiles {
+		s.addClassSeries(class, name+"."+quantile.name+"_ms", SeriesDoc{
+			Kind: Gauge,
+			Unit: "ms",
+			Help: help + ": " + quantile.name + ". None without answers.",
+		})
+	}
+	return *newLatency(first)
+}
+
 // reasonName returns a reason's name in series.
 func reasonName(r dispatch.Reason) string {
 	if r == dispatch.ReasonNone {
@@ -90,12 +95,25 @@
 	return r.String()
 }
 
-var reasonHelp = [dispatch.ReasonCount]string{"no reason was worked out", "the list holds nobody who is ready",
-	"everybody is too full for it to start in time", "the last attempt was turned away", "the last attempt found nobody",
-	"the last attempt was called off before its first byte", "its time was over", "the last attempt failed at the backend",
-	"the last attempt's connection broke", "the last attempt was never answered", "the last attempt was cancelled",
-	"backends could do nothing with it", "nobody knows its class", "the decisions had forgotten it", "the front is evacuated",
-	"there was no memory for its body", "the dispatcher is out of its lease"}
+var reasonHelp = [dispatch.ReasonCount]string{
+	dispatch.ReasonNone:             "no reason was worked out",
+	dispatch.ReasonNoReadyMember:    "the list holds nobody who is ready",
+	dispatch.ReasonNoCapacity:       "everybody is too full for it to start in time",
+	dispatch.ReasonRejected:         "the last attempt was turned away",
+	dispatch.ReasonUnreachable:      "the last attempt found nobody",
+	dispatch.ReasonWithdrawn:        "the last attempt was called off before its first byte",
+	dispatch.ReasonDeadlineExceeded: "its time was over",
+	dispatch.ReasonBackendError:     "the last attempt failed at the backend",
+	dispatch.ReasonConnectionLost:   "the last attempt's connection broke",
+	dispatch.ReasonTimeout:          "the last attempt was never answered",
+	dispatch.ReasonCancelled:        "the last attempt was cancelled",
+	dispatch.ReasonInvalidJob:       "backends could do nothing with it",
+	dispatch.ReasonUnknownClass:     "nobody knows its class",
+	dispatch.ReasonOverdue:          "the decisions had forgotten it",
+	dispatch.ReasonEvacuated:        "the front is evacuated",
+	dispatch.ReasonNoMemory:         "there was no memory for its body",
+	dispatch.ReasonLeaseExpired:     "the dispatcher is out of its lease",
+}
 
 func (s *Set) class(i int) *classSeries {
 	if i < 0 || i >= len(s.classes)-1 {
@@ -106,7 +124,8 @@
 
 // ObserveAnswer implements dispatch.Observer.
 func (s *Set) ObserveAnswer(answer *dispatch.AnswerRecord) {
-	class, verdict := s.class(answer.Class), VerdictOf(answer)
+	class := s.class(answer.Class)
+	verdict := VerdictOf(answer)
 	s.values[class.answers+int(verdict)]++
 	switch verdict {
 	case Rejected, Requeued:
--- a/internal/dispatcher/telemetry/series.go
+++ b/internal/dispatcher/telemetry/series.go
@@ -60,7 +60,9 @@
 		return "_"
 	}
 	return strings.Map(func(r rune) rune {
-		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' || r == '-' {
+		isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
+		isDigit := r >= '0' && r <= '9'
+		if isLetter || isDigit || r == '_' || r == '-' {
 			return r
 		}
 		return '_'
--- a/internal/dispatcher/telemetry/slotassignment.go
+++ b/internal/dispatcher/telemetry/slotassignment.go
@@ -31,10 +31,15 @@
 		if len(parts) != 3 {
 			continue
 		}
-		at := location{zone: slices.Index(n.zones, parts[0]), kind: slices.Index(n.kinds, parts[1])}
 		cell, err := strconv.Atoi(parts[2])
-		at.cell = cell
-		if err != nil || at.zone < 0 && parts[0] != unknownLocation || at.kind < 0 && parts[1] != unknownLocation {
+		at := location{
+			zone: slices.Index(n.zones, parts[0]),
+			kind: slices.Index(n.kinds, parts[1]),
+			cell: cell,
+		}
+		isZoneKnown := at.zone >= 0 || parts[0] == unknownLocation
+		isKindKnown := at.kind >= 0 || parts[1] == unknownLocation
+		if err != nil || !isZoneKnown || !isKindKnown {
 			continue
 		}
 		if assignment.Node != "" && assignment.Slot >= 0 && assignment.Slot < s.options.MaxNodes {
--- a/internal/dispatcher/telemetry/verdict.go
+++ b/internal/dispatcher/telemetry/verdict.go
@@ -31,12 +31,23 @@
 	NumVerdicts // number of verdicts
 )
 
-var verdictNames = [NumVerdicts]string{"in_time", "late", "refused", "failed", "gone", "returned"}
+var verdictNames = [NumVerdicts]string{
+	InTime:       "in_time",
+	Late:         "late",
+	Rejected:     "refused",
+	Failed:       "failed",
+	Disconnected: "gone",
+	Requeued:     "returned",
+}
 
-var verdictHelp = [NumVerdicts]string{"Jobs served within the class's objective, with its stretch for the hinted work.",
-	"Jobs served after that.", "Jobs refused: they did not run, a repeat is harmless.", "Jobs failed: nothing is promised.",
-	"Jobs whose client had left before an answer.",
-	"Refusals of background jobs that were told to nobody: the job comes again by itself."}
+var verdictHelp = [NumVerdicts]string{
+	InTime:       "Jobs served within the class's objective, with its stretch for the hinted work.",
+	Late:         "Jobs served after that.",
+	Rejected:     "Jobs refused: they did not run, a repeat is harmless.",
+	Failed:       "Jobs failed: nothing is promised.",
+	Disconnected: "Jobs whose client had left before an answer.",
+	Requeued:     "Refusals of background jobs that were told to nobody: the job comes again by itself.",
+}
 
 // String returns the verdict's name.
 func (v Verdict) String() string { return verdictNames[v] }
--- a/loadbalancer/baseline_test.go
+++ b/loadbalancer/baseline_test.go
@@ -168,7 +168,10 @@
 	})
 	with("no weights", planWithoutReports(), func(p *simulationPlan) { p.weights = false })
 	with("one zone", planWithoutReports(), func(p *simulationPlan) { p.settings.Zones = 1 })
-	with("one kind", planWithoutReports(), func(p *simulationPlan) { p.kinds = p.kinds[1:2]; p.kinds[0].share = 1 })
+	with("one kind", planWithoutReports(), func(p *simulationPlan) {
+		p.kinds = p.kinds[1:2]
+		p.kinds[0].share = 1
+	})
 	with("no cancelling", planWithoutReports(), func(p *simulationPlan) { p.settings.MayCancel = false })
 	with("no wait at refusals", planWithoutReports(), func(p *simulationPlan) { p.settings.MayRetryAfter = false })
 	with("list on request", planWithoutReports(), func(p *simulationPlan) { p.settings.ListOnRequest = true })
