--- a/internal/dispatcher/cluster/jobreplica/doc.go
+++ b/internal/dispatcher/cluster/jobreplica/doc.go
@@ -7,7 +7,7 @@
 // output. It is not safe for concurrent use. All times are in seconds on one monotonic clock of the caller's.
 //
 // To run a member:
-//   - create a Replica with New; at the first replicas of a new cluster, and once in its life, call Bootstrap;
+//   - create a Replica with New; at the first replicas of a new cluster, and once only, call Bootstrap;
 //   - call Tick at least once in a HeartbeatInterval, Step for each message received, and SetCandidates as members come and go;
 //   - after each call, send what TakeOutput returns and act on the commands that were applied;
 //   - a Fragmenter makes datagrams of the messages, and messages of datagrams;
--- a/internal/dispatcher/cluster/jobreplica/propose.go
+++ b/internal/dispatcher/cluster/jobreplica/propose.go
@@ -82,6 +82,10 @@
 			reachable++
 		}
 	}
-	return &NoMajorityError{reachable, voters, int64(millisecondsPerSecond * (r.now - r.leaderSeenAt)),
-		int64(retryTimeouts * millisecondsPerSecond * r.options.ElectionTimeout)}
+	return &NoMajorityError{
+		Reachable: reachable,
+		Voters:    voters,
+		SilentMS:  int64(millisecondsPerSecond * (r.now - r.leaderSeenAt)),
+		RetryMS:   int64(retryTimeouts * millisecondsPerSecond * r.options.ElectionTimeout),
+	}
 }
--- a/internal/dispatcher/cluster/jobreplica/replica.go
+++ b/internal/dispatcher/cluster/jobreplica/replica.go
@@ -62,7 +62,7 @@
 }
 
 // Bootstrap creates the replicated state with its first replicas. It must be called with the same list at each of them, and
-// once in the life of a cluster's state: the caller ensures that. It returns a *NotReplicaError if this member is not listed.
+// once for a cluster's state: the caller ensures that. It returns a *NotReplicaError if this member is not listed.
 func (r *Replica) Bootstrap(replicas []Member) error {
 	var membership consensus.Membership
 	for _, m := range replicas {
@@ -74,7 +74,10 @@
 		return &NotReplicaError{}
 	}
 	snapshot := consensus.Snapshot{Index: bootstrapIndex, Term: bootstrapTerm, Membership: membership}
-	persistent := consensus.PersistentState{HardState: consensus.HardState{Term: bootstrapTerm, Commit: bootstrapIndex}, Snapshot: snapshot}
+	persistent := consensus.PersistentState{
+		HardState: consensus.HardState{Term: bootstrapTerm, Commit: bootstrapIndex},
+		Snapshot:  snapshot,
+	}
 	if err := persistent.Validate(); err != nil {
 		return err
 	}
@@ -163,7 +166,8 @@
 	if fromLeader && r.Leader() == from {
 		r.leaderSeenAt = r.now
 	}
-	if (message.Kind == consensus.MessagePreVote || message.Kind == consensus.MessageVote) && !r.isMember(from) {
+	isVoteRequest := message.Kind == consensus.MessagePreVote || message.Kind == consensus.MessageVote
+	if isVoteRequest && !r.isMember(from) {
 		r.send(&envelope{kind: kindReplaced, to: from, appliedIndex: r.appliedIndex})
 	}
 	r.processReady()
@@ -195,7 +199,8 @@
 
 // TakeOutput returns the messages to be sent and the commands that were applied since the last call.
 func (r *Replica) TakeOutput() (outgoing []Outgoing, applied []Applied) {
-	outgoing, applied, r.outgoing, r.appliedCommands = r.outgoing, r.appliedCommands, nil, nil
+	outgoing, r.outgoing = r.outgoing, nil
+	applied, r.appliedCommands = r.appliedCommands, nil
 	return outgoing, applied
 }
 
--- a/internal/dispatcher/cluster/versions/doc.go
+++ b/internal/dispatcher/cluster/versions/doc.go
@@ -6,7 +6,7 @@
 // concurrent use; times are in seconds of Unix time, on the caller's clock.
 //
 // What peers send only ever restricts. A peer's fact of a worker binds if it is newer than the own list, of the same source
-// and epoch: a worker that drains or is gone gets nothing new, and one with a later start counts as cold. The next list of
+// and epoch: a worker that drains or is gone gets nothing new, and one with a later start is in slow start. The next list of
 // the own discovery that is as new overrides all facts. No payload makes a worker ready that the own list does not call
 // ready, nor adds a worker that the list does not name: addresses are never taken from a peer.
 //
--- a/internal/dispatcher/gearman/client.go
+++ b/internal/dispatcher/gearman/client.go
@@ -71,8 +71,9 @@
 		}
 		startAt = float64(seconds)
 	}
-	if fn.maxQueue > 0 && fn.jobs-fn.running >= fn.maxQueue || len(s.jobs) >= s.config.MaxJobs ||
-		s.pendingBytes+len(data) > s.config.MaxBytes || !s.limiter.ReserveJob(len(data)) {
+	isFunctionFull := fn.maxQueue > 0 && fn.jobs-fn.running >= fn.maxQueue
+	isServerFull := len(s.jobs) >= s.config.MaxJobs || s.pendingBytes+len(data) > s.config.MaxBytes
+	if isFunctionFull || isServerFull || !s.limiter.ReserveJob(len(data)) {
 		p.send(Error, codeQueueFull, "job queue is full")
 		return
 	}
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -105,39 +105,51 @@
 		if _, open := p.server.peers.Get(p.handle); !open {
 			return
 		}
-		var n int
-		var err error
-		if conn.Bytes()[0] != 0 {
-			var words []string
-			if words, n, err = ParseLine(conn.Bytes()); err == nil {
-				conn.Consume(n)
-				p.markMessageComplete()
-				conn.Write([]byte(p.runAdminCommand(words)))
-				continue
-			}
-		} else {
-			var packet Packet
-			if packet, n, err = Parse(conn.Bytes()); err == nil {
-				conn.Consume(n)
-				p.markMessageComplete()
-				p.handlePacket(packet)
-				continue
-			}
-		}
+		err := p.handleMessage()
 		if errors.Is(err, ErrIncomplete) {
-			switch {
-			case p.server.limiter.BuffersFull():
-				p.closeWithError(codeQueueFull, "no memory to wait for the rest")
-			case p.sentMessage && !p.messagePending:
-				p.messagePending = true
-				p.setMessageDeadline(admission.MessageTimeout)
-			}
+			p.awaitRest()
 			return
 		}
-		p.server.Counts.BadPackets++
-		p.server.log.Warn("gearman: bad packet, closing", zap.Error(err), zap.Uint64("so_far", p.server.Counts.BadPackets))
-		p.closeWithError(codeBadPacket, err.Error())
-		return
+		if err != nil {
+			p.server.Counts.BadPackets++
+			p.server.log.Warn("gearman: bad packet, closing", zap.Error(err), zap.Uint64("so_far", p.server.Counts.BadPackets))
+			p.closeWithError(codeBadPacket, err.Error())
+			return
+		}
+	}
+}
+
+// handleMessage parses and handles the first message received: a packet, which begins with a zero byte, or a line of the
+// text protocol.
+func (p *peer) handleMessage() error {
+	if p.conn.Bytes()[0] != 0 {
+		words, size, err := ParseLine(p.conn.Bytes())
+		if err != nil {
+			return err
+		}
+		p.conn.Consume(size)
+		p.markMessageComplete()
+		p.conn.Write([]byte(p.runAdminCommand(words)))
+		return nil
+	}
+	packet, size, err := Parse(p.conn.Bytes())
+	if err != nil {
+		return err
+	}
+	p.conn.Consume(size)
+	p.markMessageComplete()
+	p.handlePacket(packet)
+	return nil
+}
+
+// awaitRest waits for the rest of an incomplete message, if there is memory for it.
+func (p *peer) awaitRest() {
+	switch {
+	case p.server.limiter.BuffersFull():
+		p.closeWithError(codeQueueFull, "no memory to wait for the rest")
+	case p.sentMessage && !p.messagePending:
+		p.messagePending = true
+		p.setMessageDeadline(admission.MessageTimeout)
 	}
 }
 
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -57,7 +57,7 @@
 		}
 	}
 	p.worker.member.ID = p.server.dispatcher.WorkerID(p.worker.name)
-	if previous, had := p.worker.abilities[name]; !had || previous != limit {
+	if previous, known := p.worker.abilities[name]; !known || previous != limit {
 		p.worker.abilities[name] = limit
 		p.worker.publish()
 	}
@@ -95,11 +95,11 @@
 func (w *worker) returnUnservable() {
 	var returned []*attempt
 	w.unassigned = slices.DeleteFunc(w.unassigned, func(a *attempt) bool {
-		_, can := w.abilities[a.job.function.Name]
-		if !can {
+		_, isAble := w.abilities[a.job.function.Name]
+		if !isAble {
 			returned = append(returned, a)
 		}
-		return !can
+		return !isAble
 	})
 	for _, a := range returned {
 		w.peer.server.dispatcher.HandleOutcome(a.id, dispatch.Outcome{Result: loadbalancer.ConnectFailed})
@@ -129,8 +129,8 @@
 
 // Start implements dispatch.Backend: the attempt waits until the worker asks for a job.
 func (w *worker) Start(dispatched dispatch.Attempt) {
-	j, ok := dispatched.Payload.(*job)
-	if _, can := w.abilities[functionName(j)]; !ok || !can {
+	j, isJob := dispatched.Payload.(*job)
+	if _, isAble := w.abilities[functionName(j)]; !isJob || !isAble {
 		w.peer.server.dispatcher.HandleOutcome(dispatched.ID, dispatch.Outcome{Result: loadbalancer.ConnectFailed})
 		return
 	}
@@ -249,7 +249,8 @@
 		w.unassigned = w.unassigned[1:]
 		j := a.job
 		result, confirmed := s.dispatcher.ConfirmSend(a.id)
-		if confirmed && w.running[j.handle] != nil { // it still runs a cancelled attempt of this job: the reports carry only the handle
+		// If it still runs a cancelled attempt of this job, their reports could not be told apart: they carry the handle only.
+		if confirmed && w.running[j.handle] != nil {
 			result = loadbalancer.ConnectFailed
 			confirmed = false
 		}
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -346,7 +346,7 @@
 		c.restart()
 		t.Repeat(map[string]func(*rapid.T){
 			"answer": func(t *rapid.T) {
-				v := rapid.SampledFrom([]dispatch.Verdict{
+				verdict := rapid.SampledFrom([]dispatch.Verdict{
 					dispatch.Served,
 					dispatch.Rejected,
 					dispatch.Failed,
@@ -354,7 +354,7 @@
 					dispatch.Requeued,
 				}).Draw(t, "verdict")
 				c.set.ObserveAnswer(&dispatch.AnswerRecord{
-					Verdict:        v,
+					Verdict:        verdict,
 					AnsweredAt:     1,
 					TargetAt:       rapid.Float64Range(0, 2).Draw(t, "aim"),
 					WinningAttempt: -1,
