--- a/internal/dispatcher/cluster/versions/faults_test.go
+++ b/internal/dispatcher/cluster/versions/faults_test.go
@@ -32,11 +32,13 @@
 func TestClockSkew(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		tables, skews := map[*virtualcluster.Node]*versions.Table{}, map[string]float64{}
+		tables := map[*virtualcluster.Node]*versions.Table{}
+		skews := map[string]float64{}
 		net := virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.01}, 8)
 		best := map[[2]string]float64{}
 		net.NewDelegate = func(node *virtualcluster.Node) membership.Delegate {
-			table, by := versions.New(node.Name), 4*rng.Float64()-2
+			table := versions.New(node.Name)
+			by := 4*rng.Float64() - 2
 			tables[node] = table
 			skews[node.Name] = by
 			table.ApplyList(net.Now+by, src, 5, false, nil)
@@ -55,8 +57,9 @@
 				if i > 2 && s%2 == 0 {
 					table.HandleDiscoveryContact(net.Now + by)
 				}
-				v := node.Membership.View()
-				if table.UpdateLease(net.Now+by, &v); s > 20 && table.Lease.State() != lease.Held {
+				view := node.Membership.View()
+				table.UpdateLease(net.Now+by, &view)
+				if s > 20 && table.Lease.State() != lease.Held {
 					t.Fatalf("seed %d: %s is %v: %s", seed, node.Name, table.Lease.State(), table.Lease.Reason)
 				}
 			}
--- a/internal/dispatcher/cluster/versions/lease_test.go
+++ b/internal/dispatcher/cluster/versions/lease_test.go
@@ -90,6 +90,38 @@
 	return others > 1
 }
 
+// disrupt has some members lose discovery, partitions the network in a drawn way, and may pause a member for a while.
+func (sim *leaseSimulation) disrupt(rng *rand.Rand) {
+	nodes := sim.net.Nodes
+	lossShare := rng.Float64()
+	for _, node := range nodes {
+		sim.withoutDiscovery[node] = rng.Float64() < lossShare
+		sim.group[node] = 0
+	}
+	switch rng.IntN(4) {
+	case 0: // a few are alone
+		for i := range 1 + rng.IntN(max(1, len(nodes)/4)) {
+			sim.group[nodes[rng.IntN(len(nodes))]] = i + 1
+		}
+	case 1: // two parts
+		for _, node := range nodes {
+			sim.group[node] = rng.IntN(2)
+		}
+	case 2: // everybody is alone
+		for i, node := range nodes {
+			sim.group[node] = i
+		}
+	}
+	paused := nodes[rng.IntN(len(nodes))]
+	if rng.IntN(2) == 0 {
+		sim.net.Pause(paused)
+		sim.run([]int{3, 8, 20}[rng.IntN(3)])
+		sim.net.Resume(paused)
+		sim.boards[paused].ExpireUpdates(sim.net.Now)
+		sim.informedSince[paused] = sim.net.Now
+	}
+}
+
 // TestNobodyIsOutWrongly plays random losses of discovery, members and links. Nobody is out whom updates of discovery
 // can reach, nobody in a group that none can reach, and never more than a third.
 func TestNobodyIsOutWrongly(t *testing.T) {
@@ -107,33 +139,7 @@
 		n := sizes[rng.IntN(len(sizes))]
 		l := newLeaseSimulation(t, seed, n, []float64{0, 0.05, 0.2}[rng.IntN(3)])
 		for range 4 {
-			few := rng.Float64()
-			for _, node := range l.net.Nodes {
-				l.withoutDiscovery[node] = rng.Float64() < few
-				l.group[node] = 0
-			}
-			switch rng.IntN(4) {
-			case 0: // a few are alone
-				for i := range 1 + rng.IntN(max(1, n/4)) {
-					l.group[l.net.Nodes[rng.IntN(n)]] = i + 1
-				}
-			case 1: // two parts
-				for _, node := range l.net.Nodes {
-					l.group[node] = rng.IntN(2)
-				}
-			case 2: // everybody is alone
-				for i, node := range l.net.Nodes {
-					l.group[node] = i
-				}
-			}
-			sleeper := l.net.Nodes[rng.IntN(n)]
-			if rng.IntN(2) == 0 {
-				l.net.Pause(sleeper)
-				l.run([]int{3, 8, 20}[rng.IntN(3)])
-				l.net.Resume(sleeper)
-				l.boards[sleeper].ExpireUpdates(l.net.Now)
-				l.informedSince[sleeper] = l.net.Now
-			}
+			l.disrupt(rng)
 			l.run(20 + rng.IntN(60))
 		}
 		clear(l.group)
--- a/internal/dispatcher/cluster/versions/simulation_test.go
+++ b/internal/dispatcher/cluster/versions/simulation_test.go
@@ -56,36 +56,9 @@
 				var took []float64
 				answered := uint64(0)
 				for seed := uint64(1); seed <= seeds; seed++ {
-					net, tables := newTestCluster(t, seed, n, loss)
-					sleeper := net.Nodes[n-1]
-					net.Pause(sleeper)
-					first := net.Nodes[seed%uint64(n-1)]
-					tables[first].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
-					first.Membership.GossipNow(net.Now)
-					net.Flush(first)
-					known := func(nodes []*virtualcluster.Node) bool {
-						for _, node := range nodes {
-							if node != first && tables[node].Restrictions()["x"].State != versions.Draining {
-								return false
-							}
-						}
-						return true
-					}
-					span, ok := net.RunUntil(60, 0.02, func() bool { return known(net.Nodes[:n-1]) })
-					if !ok {
-						t.Fatalf("seed %d: not known to all after 60 periods", seed)
-					}
+					span, replies := spreadDrain(t, seed, n, loss)
 					took = append(took, span)
-					net.Run(net.Now + 30)
-					net.Resume(sleeper)
-					if span, ok := net.RunUntil(30, 0.02, func() bool { return known(net.Nodes) }); !ok {
-						t.Errorf("seed %d: one that slept does not know it after 30 periods", seed)
-					} else if loss == 0 && span > 3 {
-						t.Errorf("seed %d: one that slept knows it after %.2f periods", seed, span)
-					}
-					for _, table := range tables {
-						answered = max(answered, table.Stats.Replies)
-					}
+					answered = max(answered, replies)
 				}
 				slices.Sort(took)
 				t.Logf("known to all after %.2f periods (median), %.2f (worst of %d); at most %d questions answered by one",
@@ -98,6 +71,43 @@
 	}
 }
 
+// spreadDrain has discovery send a drain to one of n members while the last one is paused, which resumes 30 s after all
+// others know it. It returns the probe intervals until these knew it, and the replies of the member that sent most.
+func spreadDrain(t *testing.T, seed uint64, n int, loss float64) (span float64, maxReplies uint64) {
+	t.Helper()
+	net, tables := newTestCluster(t, seed, n, loss)
+	paused := net.Nodes[n-1]
+	net.Pause(paused)
+	first := net.Nodes[seed%uint64(n-1)]
+	tables[first].ApplyList(net.Now, src, 6, false, []versions.Entry{{Worker: "x", State: versions.Draining}})
+	first.Membership.GossipNow(net.Now)
+	net.Flush(first)
+	areInformed := func(nodes []*virtualcluster.Node) bool {
+		for _, node := range nodes {
+			if node != first && tables[node].Restrictions()["x"].State != versions.Draining {
+				return false
+			}
+		}
+		return true
+	}
+	span, ok := net.RunUntil(60, 0.02, func() bool { return areInformed(net.Nodes[:n-1]) })
+	if !ok {
+		t.Fatalf("seed %d: not known to all after 60 periods", seed)
+	}
+	net.Run(net.Now + 30)
+	net.Resume(paused)
+	resumedSpan, ok := net.RunUntil(30, 0.02, func() bool { return areInformed(net.Nodes) })
+	if !ok {
+		t.Errorf("seed %d: one that slept does not know it after 30 periods", seed)
+	} else if loss == 0 && resumedSpan > 3 {
+		t.Errorf("seed %d: one that slept knows it after %.2f periods", seed, resumedSpan)
+	}
+	for _, table := range tables {
+		maxReplies = max(maxReplies, table.Stats.Replies)
+	}
+	return span, maxReplies
+}
+
 // TestNothingWithheldWithoutDiscovery has discovery be down for all: nobody lags, and nothing is restricted.
 func TestNothingWithheldWithoutDiscovery(t *testing.T) {
 	net, tables := newTestCluster(t, 3, 12, 0.05)
