--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -84,6 +84,9 @@
 	}
 }
 
+// Rest returns the bytes that are not read yet; none after a malformed field. They share memory with the encoding.
+func (r *Reader) Rest() []byte { return r.data[r.next:] }
+
 // remaining returns the number of bytes that are not read yet.
 func (r *Reader) remaining() int { return len(r.data) - r.next }
 
--- a/internal/system/codec/codec_test.go
+++ b/internal/system/codec/codec_test.go
@@ -36,6 +36,9 @@
 		if reader.Bool("flag") != flag || reader.Float32("number") != number {
 			t.Fatal("a flag or a number was decoded to another value")
 		}
+		if !bytes.Equal(reader.Rest(), content) {
+			t.Fatal("the rest is another one")
+		}
 		if !bytes.Equal(reader.Fixed("fixed", len(content)), content) {
 			t.Fatal("a field of fixed size was decoded to another value")
 		}
@@ -127,7 +130,7 @@
 	reader.Fail("field")
 	if reader.Byte("a") != 0 || reader.Uvarint("b") != 0 || reader.Varint("c") != 0 || reader.Count("d") != 0 ||
 		reader.String("e") != "" || reader.Bytes("f") != nil || reader.Bool("g") || reader.Float32("h") != 0 ||
-		reader.CountOf("i", 2) != 0 {
+		reader.CountOf("i", 2) != 0 || len(reader.Rest()) != 0 {
 		t.Error("a field was read after a malformed one")
 	}
 }
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -3,16 +3,15 @@
 import (
 	"bufio"
 	"bytes"
-	"compress/flate"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
 	"math"
-	"sync"
 	"time"
 
 	"cinderroad/internal/system/codec"
+	"cinderroad/internal/system/deflate"
 )
 
 // Bounds of packed batches.
@@ -21,11 +20,6 @@
 	PackThresholdBytes = 2 << 10
 	// MaxUnpackedBytes is the greatest unpacked size that Unpack accepts.
 	MaxUnpackedBytes = 32 << 20
-	// maxInflationRatio is the greatest number of bytes that one byte of a deflate stream can expand to.
-	maxInflationRatio = 1032
-	// compressionLevel is a fast level, since followers wait. Its writer takes a third less memory than that of the
-	// fastest level.
-	compressionLevel = 2
 	// packedDeleted and packedValue are the kinds of packed items.
 	packedDeleted = 0
 	packedValue   = 1
@@ -50,15 +44,6 @@
 	errMalformedItems = errors.New("its items are malformed")
 )
 
-// flateWriters holds idle writers; each takes 0.8 MB, so those that are not used again soon are dropped.
-var flateWriters = sync.Pool{New: func() any {
-	writer, err := flate.NewWriter(io.Discard, compressionLevel)
-	if err != nil {
-		panic(err) // the level is a constant
-	}
-	return writer
-}}
-
 // Size returns the approximate number of bytes that the batch takes in a message.
 func (b *Batch) Size() int {
 	size := len(b.Packed)
@@ -71,23 +56,13 @@
 // Pack returns the batch with its items in compressed form, or unchanged if it is below PackThresholdBytes. A packed
 // batch may be sent to many followers, each time with PackedAge set to the time since it was packed.
 //
-// The packed form is the unpacked length of the rest as a varint, then the rest, deflated: the number of items, and for
-// each item the length of its key, the key, its index, its age in nanoseconds, and 0 for a deleted item, or 1, the
+// The packed form is that of package deflate. The data in it are the number of items, and for each item the length of its key, the key, its index, its age in nanoseconds, and 0 for a deleted item, or 1, the
 // length of its value and the value. All numbers are unsigned varints.
 func (b Batch) Pack() Batch {
 	if b.Size() < PackThresholdBytes {
 		return b
 	}
-	var deflated bytes.Buffer
-	var head [binary.MaxVarintLen64]byte
-	deflated.Write(head[:binary.PutUvarint(head[:], uint64(b.unpackedBytes()))])
-	writer := flateWriters.Get().(*flate.Writer)
-	defer flateWriters.Put(writer)
-	writer.Reset(&deflated)
-	defer writer.Reset(io.Discard)
-	b.writePackedItems(writer)
-	_ = writer.Close() // a buffer takes all
-	b.Packed = bytes.Clone(deflated.Bytes())
+	b.Packed = bytes.Clone(deflate.Pack(b.unpackedBytes(), b.writePackedItems)) // without the spare capacity
 	b.Items = nil
 	return b
 }
@@ -130,11 +105,10 @@
 	if len(b.Packed) == 0 {
 		return nil
 	}
-	size, read := binary.Uvarint(b.Packed)
-	if read <= 0 || size > MaxUnpackedBytes || size > maxInflationRatio*uint64(len(b.Packed)) {
+	size, inflated, ok := deflate.Open(b.Packed, MaxUnpackedBytes)
+	if !ok {
 		return &UnpackError{errImpossibleSize}
 	}
-	inflated := flate.NewReader(bytes.NewReader(b.Packed[read:]))
 	reader := packedReader{source: bufio.NewReaderSize(inflated, PackThresholdBytes), remaining: int64(size)}
 	items := reader.readItems(b.PackedAge)
 	if reader.err != nil {
@@ -147,7 +121,8 @@
 }
 
 // packedReader reads the fields of a packed batch. After the first malformed field it returns only empty ones; err is
-// the cause of the first failure.
+// the cause of the first failure. It is no codec.Reader since it reads the batch while that is inflated, without a copy
+// of the whole.
 type packedReader struct {
 	source    *bufio.Reader
 	remaining int64 // bytes of the announced size that are not read yet
--- a/internal/system/feed/pack_test.go
+++ b/internal/system/feed/pack_test.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"cinderroad/internal/system/deflate"
 )
 
 // routeBatch returns a snapshot of n routes such as a configuration has, each a little different from the others.
@@ -142,7 +144,7 @@
 		for i := range batch.Items {
 			total += len(batch.Items[i].Key) + len(batch.Items[i].Value)
 		}
-		if total > MaxUnpackedBytes || total > maxInflationRatio*len(data) {
+		if total > MaxUnpackedBytes || total > deflate.MaxRatio*len(data) {
 			t.Fatalf("%d bytes became %d", len(data), total)
 		}
 		again := batch.Pack()
--- a/internal/system/replica/messages.go
+++ b/internal/system/replica/messages.go
@@ -4,34 +4,33 @@
 	"encoding/binary"
 	"errors"
 
+	"cinderroad/internal/system/codec"
 	"cinderroad/internal/system/consensus"
 	"cinderroad/internal/system/feed"
 )
 
+// maxPartition is the greatest number that a feed.Partition holds.
+const maxPartition = uint64(^feed.Partition(0))
+
 var errTruncated = errors.New("they are truncated")
 
 // appendMessage appends the partition, the length of the encoded message, and the message.
 func appendMessage(b []byte, partition feed.Partition, message *consensus.Message) []byte {
-	encoded := consensus.EncodeMessage(*message)
 	b = binary.AppendUvarint(b, uint64(partition))
-	b = binary.AppendUvarint(b, uint64(len(encoded)))
-	return append(b, encoded...)
+	return codec.AppendBytes(b, consensus.EncodeMessage(*message))
 }
 
-// readMessage reads what appendMessage wrote and returns the rest.
+// readMessage reads what appendMessage wrote and returns the rest. An error is a *MalformedMessagesError.
 func readMessage(data []byte) (feed.Partition, consensus.Message, []byte, error) {
-	partition, size := binary.Uvarint(data)
-	if size <= 0 || partition > uint64(^feed.Partition(0)) {
-		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
-	}
-	data = data[size:]
-	length, size := binary.Uvarint(data)
-	if size <= 0 || length > uint64(len(data)-size) {
+	reader := codec.NewReader(data)
+	partition := reader.Uvarint("partition")
+	encoded := reader.Bytes("message")
+	if _, failed := reader.Malformed(); failed || partition > maxPartition {
 		return 0, consensus.Message{}, nil, &MalformedMessagesError{errTruncated}
 	}
-	message, err := consensus.DecodeMessage(data[size : size+int(length)])
+	message, err := consensus.DecodeMessage(encoded)
 	if err != nil {
 		return 0, consensus.Message{}, nil, &MalformedMessagesError{err}
 	}
-	return feed.Partition(partition), message, data[size+int(length):], nil
+	return feed.Partition(partition), message, reader.Rest(), nil
 }
--- a/internal/system/replica/rpc.go
+++ b/internal/system/replica/rpc.go
@@ -35,7 +35,7 @@
 // wire format.
 type DeliverRequest struct {
 	Messages []byte
-	Packed   []byte // if not empty: a uvarint, the length of the messages, and the messages deflated; Messages is empty
+	Packed   []byte // if not empty: the messages in the form of package deflate; Messages is empty
 }
 
 // DeliverReply acknowledges the receipt of messages, not their effect.
