--- a/internal/system/consensus/entry.go
+++ b/internal/system/consensus/entry.go
@@ -1,9 +1,14 @@
 package consensus
 
+import "fmt"
+
 // ReplicaID identifies one incarnation of a replica's disk: a replica that lost its disk returns under another ID. IDs
 // are never reused; 0 is no replica.
 type ReplicaID uint64
 
+// Hex returns the ID as logs and operators see it: 16 hexadecimal digits.
+func (id ReplicaID) Hex() string { return fmt.Sprintf("%016x", uint64(id)) }
+
 // EntryKind is the type of an entry.
 type EntryKind uint8
 
--- a/internal/system/consensus/membership_change.go
+++ b/internal/system/consensus/membership_change.go
@@ -32,8 +32,9 @@
 	}
 	changed := changedMembers(present, to)
 	if len(changed) == 0 || len(changed) > 1 && !differOnlyInVotes(present, to) && !sameVoters(present, to) {
-		return &InvalidMembershipError{Reason: "it must differ from the present one in one member, in votes only, or in anything but " +
-			"votes"}
+		return &InvalidMembershipError{
+			Reason: "it must differ from the present one in one member, in votes only, or in anything but votes",
+		}
 	}
 	for _, id := range changed {
 		if err := n.checkPromotion(id, to); err != nil {
--- a/internal/system/consensus/raft_log.go
+++ b/internal/system/consensus/raft_log.go
@@ -66,8 +66,8 @@
 
 // matchTerm reports whether the log holds an entry of this index and term.
 func (l *raftLog) matchTerm(index, term uint64) bool {
-	have, known := l.term(index)
-	return known && have == term
+	knownTerm, known := l.term(index)
+	return known && knownTerm == term
 }
 
 // endsAt reports whether the last entry has this index and term.
@@ -145,9 +145,9 @@
 func (l *raftLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	for index > l.offset {
-		have, _ := l.term(index)
-		if have <= term {
-			return index, have
+		knownTerm, _ := l.term(index)
+		if knownTerm <= term {
+			return index, knownTerm
 		}
 		index--
 	}
--- a/internal/system/control/api/availability_test.go
+++ b/internal/system/control/api/availability_test.go
@@ -71,8 +71,8 @@
 	for _, hang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			fake := newFakeReplica()
-			a := fake.newAPI()
-			response := call(a, http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
+			api := fake.newAPI()
+			response := call(api, http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s")))
 			if response.Code != http.StatusOK {
 				t.Fatal(response.Code, response.Body)
 			}
@@ -90,7 +90,7 @@
 				{http.MethodPost, PathDrainFinish + "a", "", ""}, // has no effect on its own state
 			} {
 				started := time.Now()
-				response := call(a, request[0], request[1], request[2], request[3])
+				response := call(api, request[0], request[1], request[2], request[3])
 				if response.Code != http.StatusServiceUnavailable || response.Header().Get("Retry-After") == "" {
 					t.Errorf("%v: %d %s", request, response.Code, response.Body)
 				}
--- a/internal/system/control/api/compatibility_test.go
+++ b/internal/system/control/api/compatibility_test.go
@@ -16,8 +16,8 @@
 // TestResponsesUnchanged compares the status, headers and body of each response in a sequence of calls with the recorded
 // ones.
 func TestResponsesUnchanged(t *testing.T) {
-	c := newFakeReplica()
-	a := c.newAPI()
+	replicas := newFakeReplica()
+	api := replicas.newAPI()
 	broken := strings.Replace(documentJSON(4, routeJSON("x", "gone")), `"rank":1`, `"rank":-1`, 1)
 	change := `{"version":9,"replace":{"routes":[` + routeJSON("y", "s") + `]},"remove":{"routes":["x"]}}`
 	var transcript bytes.Buffer
@@ -34,15 +34,15 @@
 		{http.MethodPost, "/-/DrainZone.Begin/q", "", ""},
 		{http.MethodGet, "/-/status", "", ""},
 	} {
-		response := call(a, step.method, step.path, step.basedOn, step.body)
+		response := call(api, step.method, step.path, step.basedOn, step.body)
 		fmt.Fprintf(&transcript, "%s %s %s\n%d\n", step.method, step.path, step.basedOn, response.Code)
 		for _, name := range slices.Sorted(maps.Keys(response.Header())) {
 			fmt.Fprintf(&transcript, "%s: %s\n", name, response.Header().Get(name))
 		}
 		fmt.Fprintf(&transcript, "%s\n\n", response.Body)
 	}
-	c.noQuorum, c.isolated = true, true
-	response := call(a, http.MethodGet, "/-/Settings.Read", "", "")
+	replicas.noQuorum, replicas.isolated = true, true
+	response := call(api, http.MethodGet, "/-/Settings.Read", "", "")
 	fmt.Fprintf(&transcript, "without a majority\n%d\nRetry-After: %s\n%s\n",
 		response.Code, response.Header().Get("Retry-After"), response.Body)
 	compatibility.Elsewhere.Check(t, "answers.txt", transcript.Bytes())
--- a/internal/system/control/api/documentcache.go
+++ b/internal/system/control/api/documentcache.go
@@ -88,11 +88,11 @@
 
 // commitWrites returns the writes of a commit. The version is not among them: applying the commit writes it.
 func commitWrites(diff []configuration.Write) []state.Write {
-	out := make([]state.Write, 0, len(diff))
+	writes := make([]state.Write, 0, len(diff))
 	for _, write := range diff {
 		if write.Key != feed.KeyVersion {
-			out = append(out, state.Write(write))
+			writes = append(writes, state.Write(write))
 		}
 	}
-	return out
+	return writes
 }
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -108,12 +108,12 @@
 // callTimeout is dropped.
 func (sim *simulation) send(client int, request *modelRequest, zone string, handle func(t *handlerTask) modelResponse,
 	onResponse func(modelResponse)) *delivery {
-	d := &delivery{sim: sim}
+	sent := &delivery{sim: sim}
 	op := sim.checker.beginOperation(client, request, zone)
 	end := func(response modelResponse) {
-		if !d.cancelled {
+		if !sent.cancelled {
 			op.complete(response, sim.now)
-			d.cancel()
+			sent.cancel()
 			onResponse(response)
 		}
 	}
@@ -125,7 +125,7 @@
 			return
 		}
 		node.whenRunning(func() {
-			d.task = node.runHandler(d.cancelled, func(t *handlerTask) {
+			sent.task = node.runHandler(sent.cancelled, func(t *handlerTask) {
 				response := handle(t)
 				if t.ended {
 					return
@@ -140,7 +140,7 @@
 			})
 		})
 	})
-	return d
+	return sent
 }
 
 func (sim *simulation) sendChange(client int, request *modelRequest, onResponse func(modelResponse)) *delivery {
--- a/internal/system/control/compatibility_test.go
+++ b/internal/system/control/compatibility_test.go
@@ -14,10 +14,10 @@
 	if feedserver.FollowMethod.Name() != "Feed.Follow" {
 		t.Errorf("the call is named %s", feedserver.FollowMethod.Name())
 	}
-	s := newTestCluster(t, 1)
-	s.mustAcknowledge("/-/Settings.Replace", "0", documentJSON(7, 1000))
+	cluster := newTestCluster(t, 1)
+	cluster.mustAcknowledge("/-/Settings.Replace", "0", documentJSON(7, 1000))
 	var page exposition.Page
-	s.processes[0].writeMetrics(&page)
+	cluster.processes[0].writeMetrics(&page)
 	values := regexp.MustCompile(`(?m)^# HELP.*\n| [-+.0-9eInf]+$`)
 	compatibility.Elsewhere.Check(t, "figures.txt", values.ReplaceAll(page.Bytes(), nil))
 }
--- a/internal/system/control/feedserver/cache_test.go
+++ b/internal/system/control/feedserver/cache_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestBatchesArePackedOnce(t *testing.T) {
-	s := newTestServer()
-	s.sources[1].put(5, "a", 50<<10)
+	fixture := newTestServer()
+	fixture.sources[1].put(5, "a", 50<<10)
 	request := &feed.FollowRequest{Packed: true}
 	var first []byte
 	for i := range 10 {
-		reply, err := s.server.Follow(context.Background(), request)
+		reply, err := fixture.server.Follow(context.Background(), request)
 		if err != nil || len(reply.Batches) != 1 || len(reply.Batches[0].Packed) == 0 {
 			t.Fatalf("%+v, %v", reply, err)
 		}
@@ -25,12 +25,12 @@
 		if &batch.Packed[0] != &first[0] || batch.PackedAge != time.Duration(i)*time.Second {
 			t.Fatalf("packed again, or %v old after %d seconds", batch.PackedAge, i)
 		}
-		s.clock.advance(time.Second)
+		fixture.clock.advance(time.Second)
 	}
-	if s.sources[1].reads != 1 {
-		t.Errorf("it was read %d times", s.sources[1].reads)
+	if fixture.sources[1].reads != 1 {
+		t.Errorf("it was read %d times", fixture.sources[1].reads)
 	}
-	if reply := s.follow(t, 0); len(reply.Batches[0].Items) != 1 || reply.Batches[0].Items[0].Age != 10*time.Second {
+	if reply := fixture.follow(t, 0); len(reply.Batches[0].Items) != 1 || reply.Batches[0].Items[0].Age != 10*time.Second {
 		t.Errorf("a follower that accepts no packed batches: %+v", reply)
 	}
 }
--- a/internal/system/control/feedserver/fake_test.go
+++ b/internal/system/control/feedserver/fake_test.go
@@ -95,22 +95,22 @@
 }
 
 func newTestServer() *testServer {
-	s := &testServer{clock: &fakeClock{time: time.Hour}, ages: []time.Duration{7 * time.Millisecond, feed.AgeNever, 0}}
+	fixture := &testServer{clock: &fakeClock{time: time.Hour}, ages: []time.Duration{7 * time.Millisecond, feed.AgeNever, 0}}
 	var sources []Source
 	for partition := range feed.Partition(3) {
-		source := &countingSource{clock: s.clock, table: feed.NewTable(partition)}
-		s.sources = append(s.sources, source)
+		source := &countingSource{clock: fixture.clock, table: feed.NewTable(partition)}
+		fixture.sources = append(fixture.sources, source)
 		sources = append(sources, source)
 	}
-	s.notifier = NewNotifier(s.clock.now, s.clock.after)
-	s.server = New(Options{
+	fixture.notifier = NewNotifier(fixture.clock.now, fixture.clock.after)
+	fixture.server = New(Options{
 		Sources:    sources,
-		Notifier:   s.notifier,
-		Now:        s.clock.now,
-		Age:        func(partition feed.Partition) time.Duration { return s.ages[partition] },
+		Notifier:   fixture.notifier,
+		Now:        fixture.clock.now,
+		Age:        func(partition feed.Partition) time.Duration { return fixture.ages[partition] },
 		ProxyCount: func() int { return 3 },
 	})
-	return s
+	return fixture
 }
 
 // follow makes a call that must succeed.
--- a/internal/system/control/feedserver/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -70,15 +70,15 @@
 
 // Followers returns the followers that have not expired, ordered by node.
 func (s *Server) Followers() []Follower {
-	r := &s.registry
+	registry := &s.registry
 	now := s.options.Now()
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.expire(now)
-	out := make([]Follower, 0, len(r.calls))
-	for node, call := range r.calls {
-		out = append(out, Follower{Node: node, ConfigurationIndex: call.configurationIndex, SinceLastCall: now - call.at})
+	registry.mutex.Lock()
+	defer registry.mutex.Unlock()
+	registry.expire(now)
+	followers := make([]Follower, 0, len(registry.calls))
+	for node, call := range registry.calls {
+		followers = append(followers, Follower{Node: node, ConfigurationIndex: call.configurationIndex, SinceLastCall: now - call.at})
 	}
-	slices.SortFunc(out, func(a, b Follower) int { return cmp.Compare(a.Node, b.Node) })
-	return out
+	slices.SortFunc(followers, func(a, b Follower) int { return cmp.Compare(a.Node, b.Node) })
+	return followers
 }
--- a/internal/system/control/feedserver/followers_test.go
+++ b/internal/system/control/feedserver/followers_test.go
@@ -10,27 +10,27 @@
 
 func TestFollowersExpire(t *testing.T) {
 	var now time.Duration
-	s := New(Options{Sources: []Source{nil}, Now: func() time.Duration { return now }})
-	s.registry.recordCall(&feed.FollowRequest{Node: "b", Positions: []feed.Position{{Partition: 1, Index: 9}, {Index: 4}}}, now)
+	server := New(Options{Sources: []Source{nil}, Now: func() time.Duration { return now }})
+	server.registry.recordCall(&feed.FollowRequest{Node: "b", Positions: []feed.Position{{Partition: 1, Index: 9}, {Index: 4}}}, now)
 	now = followerExpiry / 2
-	s.registry.recordCall(&feed.FollowRequest{Node: "a"}, now)
-	s.registry.recordCall(&feed.FollowRequest{}, now)
+	server.registry.recordCall(&feed.FollowRequest{Node: "a"}, now)
+	server.registry.recordCall(&feed.FollowRequest{}, now)
 	want := []Follower{{Node: "a"}, {Node: "b", ConfigurationIndex: 4, SinceLastCall: now}}
-	if got := s.Followers(); len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
+	if got := server.Followers(); len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	now += followerExpiry/2 + 1
-	if got := s.Followers(); len(got) != 1 || got[0].Node != "a" {
+	if got := server.Followers(); len(got) != 1 || got[0].Node != "a" {
 		t.Fatalf("got %+v after b expired", got)
 	}
 }
 
 func TestTrackedFollowersAreBounded(t *testing.T) {
-	s := New(Options{Sources: []Source{nil}, Now: func() time.Duration { return 0 }})
+	server := New(Options{Sources: []Source{nil}, Now: func() time.Duration { return 0 }})
 	for i := range maxTrackedFollowers + 10 {
-		s.registry.recordCall(&feed.FollowRequest{Node: fmt.Sprint(i)}, 0)
+		server.registry.recordCall(&feed.FollowRequest{Node: fmt.Sprint(i)}, 0)
 	}
-	if got := len(s.Followers()); got != maxTrackedFollowers {
+	if got := len(server.Followers()); got != maxTrackedFollowers {
 		t.Fatalf("%d followers are tracked, want %d", got, maxTrackedFollowers)
 	}
 }
--- a/internal/system/control/feedserver/notifier_test.go
+++ b/internal/system/control/feedserver/notifier_test.go
@@ -6,8 +6,8 @@
 )
 
 func TestWakeupsAreCoalesced(t *testing.T) {
-	c := &fakeClock{time: time.Hour}
-	n := NewNotifier(c.now, c.after)
+	clock := &fakeClock{time: time.Hour}
+	notifier := NewNotifier(clock.now, clock.after)
 	woken := func(wake <-chan struct{}) bool {
 		select {
 		case <-wake:
@@ -16,29 +16,29 @@
 			return false
 		}
 	}
-	wake := n.Wakeup()
-	n.Notify()
+	wake := notifier.Wakeup()
+	notifier.Notify()
 	if !woken(wake) {
 		t.Error("the first change does not wake at once")
 	}
-	wake = n.Wakeup()
+	wake = notifier.Wakeup()
 	for range 9 {
-		c.advance(CoalesceInterval / 10)
-		n.Notify()
+		clock.advance(CoalesceInterval / 10)
+		notifier.Notify()
 	}
 	if woken(wake) {
 		t.Error("a burst wakes too often")
 	}
-	c.advance(CoalesceInterval / 10)
+	clock.advance(CoalesceInterval / 10)
 	if !woken(wake) {
 		t.Error("changes within a burst do not wake at its end")
 	}
-	wake = n.Wakeup()
-	c.advance(CoalesceInterval)
+	wake = notifier.Wakeup()
+	clock.advance(CoalesceInterval)
 	if woken(wake) {
 		t.Error("woken without a change")
 	}
-	n.Notify()
+	notifier.Notify()
 	if !woken(wake) {
 		t.Error("a change after a burst does not wake at once")
 	}
--- a/internal/system/control/feedserver/server_test.go
+++ b/internal/system/control/feedserver/server_test.go
@@ -11,79 +11,79 @@
 )
 
 func TestChangesAreReturnedAtOnce(t *testing.T) {
-	s := newTestServer()
-	if reply := s.follow(t, 0); len(reply.Batches) != 0 || !slices.Equal(reply.Ages, s.ages) || reply.Proxies != 3 {
+	fixture := newTestServer()
+	if reply := fixture.follow(t, 0); len(reply.Batches) != 0 || !slices.Equal(reply.Ages, fixture.ages) || reply.Proxies != 3 {
 		t.Errorf("without changes: %+v", reply)
 	}
-	s.sources[0].put(4, "a", 1)
-	s.sources[2].put(9, "b", 1)
-	s.clock.advance(time.Second)
-	reply := s.follow(t, time.Hour)
+	fixture.sources[0].put(4, "a", 1)
+	fixture.sources[2].put(9, "b", 1)
+	fixture.clock.advance(time.Second)
+	reply := fixture.follow(t, time.Hour)
 	if len(reply.Batches) != 2 || reply.Batches[0].Partition != 0 || reply.Batches[1].Partition != 2 ||
 		!reply.Batches[0].Snapshot || reply.Batches[1].To != 9 || reply.Batches[1].Items[0].Age != time.Second {
 		t.Errorf("from the start: %+v", reply)
 	}
-	if reply := s.follow(t, 0, 4, 0, 9); len(reply.Batches) != 0 {
+	if reply := fixture.follow(t, 0, 4, 0, 9); len(reply.Batches) != 0 {
 		t.Errorf("the follower is current: %+v", reply)
 	}
-	if reply := s.follow(t, 0, 40, 40, 40); len(reply.Batches) != 0 {
+	if reply := fixture.follow(t, 0, 40, 40, 40); len(reply.Batches) != 0 {
 		t.Errorf("the follower is ahead: %+v", reply)
 	}
-	s.sources[2].put(12, "c", 1)
-	reply = s.follow(t, time.Hour, 4, 0, 9)
+	fixture.sources[2].put(12, "c", 1)
+	reply = fixture.follow(t, time.Hour, 4, 0, 9)
 	if len(reply.Batches) != 1 || reply.Batches[0].Snapshot || len(reply.Batches[0].Items) != 1 {
 		t.Errorf("one item changed: %+v", reply)
 	}
 }
 
 func TestLongPoll(t *testing.T) {
-	s := newTestServer()
-	s.sources[0].put(1, "a", 1)
+	fixture := newTestServer()
+	fixture.sources[0].put(1, "a", 1)
 	const followers = 200
 	replies := make(chan *feed.FollowReply, followers)
 	for range followers {
 		go func() {
-			reply, err := s.server.Follow(context.Background(), newFollowRequest(time.Hour, []uint64{1}))
+			reply, err := fixture.server.Follow(context.Background(), newFollowRequest(time.Hour, []uint64{1}))
 			if err != nil {
 				t.Error(err)
 			}
 			replies <- reply
 		}()
 	}
-	s.waitForOpenCalls(t, followers)
-	s.sources[0].put(2, "b", 1)
-	s.notifier.Notify()
+	fixture.waitForOpenCalls(t, followers)
+	fixture.sources[0].put(2, "b", 1)
+	fixture.notifier.Notify()
 	for range followers {
 		reply := receive(t, replies)
 		if len(reply.Batches) != 1 || reply.Batches[0].To != 2 {
 			t.Fatalf("%+v", reply)
 		}
 	}
-	if reads := s.sources[0].reads; reads > 2 {
+	if reads := fixture.sources[0].reads; reads > 2 {
 		t.Errorf("%d followers cost %d reads", followers, reads)
 	}
 }
 
 func TestOpenCallsEnd(t *testing.T) {
-	s := newTestServer()
+	fixture := newTestServer()
 	replies := make(chan *feed.FollowReply, 1)
 	start := func(ctx context.Context) {
 		go func() {
-			reply, _ := s.server.Follow(ctx, newFollowRequest(time.Hour, nil))
+			reply, _ := fixture.server.Follow(ctx, newFollowRequest(time.Hour, nil))
 			replies <- reply
 		}()
-		s.waitForOpenCalls(t, 1)
+		fixture.waitForOpenCalls(t, 1)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	start(ctx)
 	cancel()
 	receive(t, replies)
-	s.waitForOpenCalls(t, 0)
+	fixture.waitForOpenCalls(t, 0)
 	start(context.Background())
-	s.server.Stop()
-	s.server.Stop()
+	fixture.server.Stop()
+	fixture.server.Stop()
 	receive(t, replies)
-	if reply := s.follow(t, time.Millisecond); len(reply.Batches) != 0 {
+	if reply := fixture.follow(t, time.Millisecond); len(reply.Batches) != 0 {
 		t.Errorf("%+v", reply)
 	}
 }
@@ -91,7 +91,7 @@
 // TestCallEndsWhenPartitionTurnsStale checks that a follower learns at once that a partition which it takes for current is
 // stale.
 func TestCallEndsWhenPartitionTurnsStale(t *testing.T) {
-	s := newTestServer()
+	fixture := newTestServer()
 	all := feed.FirstPartitions(3)
 	for _, test := range []struct {
 		ages    []time.Duration
@@ -104,16 +104,16 @@
 		{[]time.Duration{0, feed.AgeNever, time.Hour}, feed.NewPartitionSet(0), feed.StaleAfter + staleCheckMargin},
 		{[]time.Duration{0, feed.AgeNever, 0}, 0, MaxWait},
 	} {
-		s.ages = test.ages
-		if got := s.server.untilStale(test.current); got != test.want {
+		fixture.ages = test.ages
+		if got := fixture.server.untilStale(test.current); got != test.want {
 			t.Errorf("ages %v, of which %v are current: the call ends after %v, want %v", test.ages, test.current, got, test.want)
 		}
 	}
-	s.ages = []time.Duration{0, feed.AgeNever, 0}
+	fixture.ages = []time.Duration{0, feed.AgeNever, 0}
 	started := time.Now()
 	request := newFollowRequest(MaxWait, nil)
 	request.Current = all
-	if _, err := s.server.Follow(context.Background(), request); err != nil {
+	if _, err := fixture.server.Follow(context.Background(), request); err != nil {
 		t.Fatal(err)
 	}
 	if elapsed := time.Since(started); elapsed > MaxWait/2 {
@@ -122,28 +122,28 @@
 }
 
 func TestTooManyFollowers(t *testing.T) {
-	s := newTestServer()
-	s.server.openCalls.Store(MaxFollowers)
-	if _, err := s.server.Follow(context.Background(), newFollowRequest(0, nil)); err != ErrTooManyFollowers {
+	fixture := newTestServer()
+	fixture.server.openCalls.Store(MaxFollowers)
+	if _, err := fixture.server.Follow(context.Background(), newFollowRequest(0, nil)); err != ErrTooManyFollowers {
 		t.Errorf("%v", err)
 	}
-	if n := s.server.openCalls.Load(); n != MaxFollowers {
+	if n := fixture.server.openCalls.Load(); n != MaxFollowers {
 		t.Errorf("%d calls are counted", n)
 	}
 }
 
 func TestRepliesAreBounded(t *testing.T) {
-	s := newTestServer()
+	fixture := newTestServer()
 	const items, size = 100, 8 << 10
 	for i := range items {
-		for _, source := range s.sources {
+		for _, source := range fixture.sources {
 			source.put(uint64(i+1), fmt.Sprint("key", i), size)
 		}
 	}
 	positions := []uint64{1, 1, 1}
 	configurationComplete := false
 	for round := range 20 {
-		reply := s.follow(t, 0, positions...)
+		reply := fixture.follow(t, 0, positions...)
 		if len(reply.Batches) == 0 {
 			if positions[1] != items || positions[2] != items || !configurationComplete {
 				t.Fatalf("the follower is at %v", positions)
@@ -167,18 +167,18 @@
 }
 
 func TestBusyReply(t *testing.T) {
-	s := newTestServer()
-	s.server.pacer.bytesPerSecond = 100 << 10
-	s.sources[0].put(1, "a", 90<<10)
-	if reply := s.follow(t, 0); len(reply.Batches) != 1 || reply.Busy != 0 {
+	fixture := newTestServer()
+	fixture.server.pacer.bytesPerSecond = 100 << 10
+	fixture.sources[0].put(1, "a", 90<<10)
+	if reply := fixture.follow(t, 0); len(reply.Batches) != 1 || reply.Busy != 0 {
 		t.Fatalf("the first: %d batches, busy %v", len(reply.Batches), reply.Busy)
 	}
-	reply := s.follow(t, time.Hour)
+	reply := fixture.follow(t, time.Hour)
 	if len(reply.Batches) != 0 || reply.Busy < 600*time.Millisecond || reply.Busy > 900*time.Millisecond || reply.Proxies != 3 {
 		t.Errorf("the second: %+v", reply)
 	}
-	s.clock.advance(reply.Busy)
-	if reply := s.follow(t, 0); len(reply.Batches) != 1 {
+	fixture.clock.advance(reply.Busy)
+	if reply := fixture.follow(t, 0); len(reply.Batches) != 1 {
 		t.Errorf("after the second call: %+v", reply)
 	}
 }
--- a/internal/system/control/leaderless_test.go
+++ b/internal/system/control/leaderless_test.go
@@ -52,15 +52,15 @@
 func TestLeaderlessPartitionIsStaleAlone(t *testing.T) {
 	for lost := range feed.Partition(1 + feed.RunnerPartitionCount) {
 		t.Run(fmt.Sprint("partition ", lost), func(t *testing.T) {
-			c := newTestCluster(t, 1)
-			c.mustAcknowledge(api.PathReplace, "0", documentJSON(1, 1000))
-			settings := c.settings[0]
+			cluster := newTestCluster(t, 1)
+			cluster.mustAcknowledge(api.PathReplace, "0", documentJSON(1, 1000))
+			settings := cluster.settings[0]
 			address := netip.AddrPortFrom(settings.IP, settings.Port(processconfig.ControlRPCPort))
 			client := rpc.NewClient(address, rpc.ClientOptions{})
 			defer client.Close()
 			leader := fakeLeader{partition: lost}
-			c.waitFor("the lost partition is stale, the others are not", func() bool {
-				leader.claimLeadership(t, c, client)
+			cluster.waitFor("the lost partition is stale, the others are not", func() bool {
+				leader.claimLeadership(t, cluster, client)
 				reply, err := feedserver.FollowMethod.Invoke(context.Background(), client, &feed.FollowRequest{Node: "test"})
 				if err != nil {
 					t.Fatal(err)
@@ -75,10 +75,10 @@
 			if lost == feed.ConfigurationPartition {
 				return
 			}
-			c.mustAcknowledge(api.PathReplace, "1", documentJSON(2, 2000))
-			c.waitFor("the configuration goes on", func() bool {
-				leader.claimLeadership(t, c, client)
-				return string(c.follow(0)[feed.KeyVersion].Value) == "2"
+			cluster.mustAcknowledge(api.PathReplace, "1", documentJSON(2, 2000))
+			cluster.waitFor("the configuration goes on", func() bool {
+				leader.claimLeadership(t, cluster, client)
+				return string(cluster.follow(0)[feed.KeyVersion].Value) == "2"
 			})
 		})
 	}
--- a/internal/system/control/metrics_test.go
+++ b/internal/system/control/metrics_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestMetrics(t *testing.T) {
-	c := newTestCluster(t, 1)
-	c.mustAcknowledge("/-/Settings.Replace", "0", documentJSON(7, 1000))
-	c.waitFor("the metrics describe the state and its partitions", func() bool {
+	cluster := newTestCluster(t, 1)
+	cluster.mustAcknowledge("/-/Settings.Replace", "0", documentJSON(7, 1000))
+	cluster.waitFor("the metrics describe the state and its partitions", func() bool {
 		var page exposition.Page
-		c.processes[0].writeMetrics(&page)
+		cluster.processes[0].writeMetrics(&page)
 		text := string(page.Bytes())
 		for _, want := range []string{
 			"cinderroad_control_configuration_version 7\n",
--- a/internal/system/control/runnersync/sync.go
+++ b/internal/system/control/runnersync/sync.go
@@ -44,15 +44,15 @@
 
 // groupByPartition returns the list's entries by partition, from 0, and key.
 func (s *Syncer) groupByPartition(list []discovery.Runner) []map[string]*discovery.Runner {
-	out := make([]map[string]*discovery.Runner, len(s.options.Partitions))
-	for i := range out {
-		out[i] = map[string]*discovery.Runner{}
+	byPartition := make([]map[string]*discovery.Runner, len(s.options.Partitions))
+	for i := range byPartition {
+		byPartition[i] = map[string]*discovery.Runner{}
 	}
 	for i := range list {
-		partition := int(feed.PartitionOf(list[i].Service, len(out))) - 1
-		out[partition][feed.KeyPrefixRunner+list[i].ID] = &list[i]
+		partition := int(feed.PartitionOf(list[i].Service, len(byPartition))) - 1
+		byPartition[partition][feed.KeyPrefixRunner+list[i].ID] = &list[i]
 	}
-	return out
+	return byPartition
 }
 
 // countMissing counts the successive lists that lacked each stored runner.
--- a/internal/system/control/runnersync/syncer_test.go
+++ b/internal/system/control/runnersync/syncer_test.go
@@ -8,42 +8,42 @@
 )
 
 func TestFailedListChangesNothing(t *testing.T) {
-	c := newFakeCluster()
-	c.list = []discovery.Runner{newRunner(1), newRunner(2)}
-	c.step()
-	c.step()
-	c.listError = &discovery.RateLimitedError{}
-	c.list = nil
+	cluster := newFakeCluster()
+	cluster.list = []discovery.Runner{newRunner(1), newRunner(2)}
+	cluster.step()
+	cluster.step()
+	cluster.listError = &discovery.RateLimitedError{}
+	cluster.list = nil
 	previous := time.Duration(0)
 	for range 5 {
-		wait := c.step()
+		wait := cluster.step()
 		if wait < minPollInterval || wait < previous || wait > maxBackoff {
 			t.Errorf("a pause of %v after one of %v", wait, previous)
 		}
 		previous = wait
 	}
-	if len(c.storedRunners(t)) != 2 {
+	if len(cluster.storedRunners(t)) != 2 {
 		t.Error("a failed list was applied")
 	}
-	c.listError = nil
-	c.list = []discovery.Runner{newRunner(1)}
-	if wait := c.step(); wait != minPollInterval || len(c.storedRunners(t)) != 1 {
-		t.Errorf("the next list: a pause of %v, %d runners stored", wait, len(c.storedRunners(t)))
+	cluster.listError = nil
+	cluster.list = []discovery.Runner{newRunner(1)}
+	if wait := cluster.step(); wait != minPollInterval || len(cluster.storedRunners(t)) != 1 {
+		t.Errorf("the next list: a pause of %v, %d runners stored", wait, len(cluster.storedRunners(t)))
 	}
 }
 
 // TestPollIntervalGrowsWhileListIsUnchanged checks that the interval grows up to the bound by DrainWithin, and that a change
 // or a missing runner resets it.
 func TestPollIntervalGrowsWhileListIsUnchanged(t *testing.T) {
-	c := newFakeCluster()
-	c.syncer.options.DrainWithin = 6 * time.Second
-	c.list = []discovery.Runner{newRunner(1), newRunner(2)}
-	if wait := c.step(); wait != minPollInterval {
+	cluster := newFakeCluster()
+	cluster.syncer.options.DrainWithin = 6 * time.Second
+	cluster.list = []discovery.Runner{newRunner(1), newRunner(2)}
+	if wait := cluster.step(); wait != minPollInterval {
 		t.Errorf("after the first list: %v", wait)
 	}
 	previous := minPollInterval
 	for range 10 {
-		wait := c.step()
+		wait := cluster.step()
 		if wait < previous || wait > time.Second {
 			t.Errorf("a wait of %v after one of %v", wait, previous)
 		}
@@ -52,23 +52,23 @@
 	if previous != time.Second {
 		t.Errorf("after ten equal lists: %v", previous)
 	}
-	c.list[0].Draining = true
-	if wait := c.step(); wait != minPollInterval {
+	cluster.list[0].Draining = true
+	if wait := cluster.step(); wait != minPollInterval {
 		t.Errorf("after a change: %v", wait)
 	}
-	c.step()
-	c.pages = 2
-	c.list = c.list[:1]
-	if wait := c.step(); wait != minPollInterval {
+	cluster.step()
+	cluster.pages = 2
+	cluster.list = cluster.list[:1]
+	if wait := cluster.step(); wait != minPollInterval {
 		t.Errorf("with a runner that is missing: %v", wait)
 	}
 }
 
 func TestPollIntervalRespectsCallRate(t *testing.T) {
-	c := newFakeCluster()
-	c.pages = 20
-	c.syncer.options.CallsPerSecond = 10
-	if wait := c.step(); wait != 4*time.Second {
+	cluster := newFakeCluster()
+	cluster.pages = 20
+	cluster.syncer.options.CallsPerSecond = 10
+	if wait := cluster.step(); wait != 4*time.Second {
 		t.Errorf("20 pages at 10 calls a second, half of which are the syncer's: a pause of %v", wait)
 	}
 }
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"time"
 
 	"cinderroad/internal/system/consensus"
@@ -57,16 +56,16 @@
 func (p *Process) describeFollowers() []status.Follower {
 	index := p.configuration.Index()
 	followers := p.feedServer.Followers()
-	out := make([]status.Follower, 0, len(followers))
+	descriptions := make([]status.Follower, 0, len(followers))
 	for _, follower := range followers {
-		out = append(out, status.Follower{
+		descriptions = append(descriptions, status.Follower{
 			Node:               follower.Node,
 			ConfigurationIndex: follower.ConfigurationIndex,
 			Behind:             follower.ConfigurationIndex < index,
 			SinceLastCallMS:    follower.SinceLastCall.Milliseconds(),
 		})
 	}
-	return out
+	return descriptions
 }
 
 func (p *Process) describePartition(partition *replica.PartitionStatus) status.Partition {
@@ -126,7 +125,7 @@
 	if id == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%016x", uint64(id))
+	return id.Hex()
 }
 
 func roleName(role consensus.Role) string {
--- a/internal/system/control/testcluster_test.go
+++ b/internal/system/control/testcluster_test.go
@@ -66,8 +66,8 @@
 // newTestCluster starts a cluster; it is stopped when the test ends.
 func newTestCluster(t *testing.T, machines int) *testCluster {
 	t.Helper()
-	c := &testCluster{t: t, platform: &platform{}}
-	server := httptest.NewServer(c.platform)
+	cluster := &testCluster{t: t, platform: &platform{}}
+	server := httptest.NewServer(cluster.platform)
 	t.Cleanup(server.Close)
 	first := freePorts(t, machines)
 	zones := map[string]string{"a": "east", "b": "east", "c": "west"}
@@ -94,25 +94,25 @@
 		}
 		settings.ListenOn.Control = netip.AddrPortFrom(ip, first+2)
 		settings.ListenOn.Directory = netip.AddrPortFrom(ip, first+3)
-		c.settings = append(c.settings, settings)
+		cluster.settings = append(cluster.settings, settings)
 	}
-	for _, settings := range c.settings {
-		for _, other := range c.settings[:min(3, machines)] {
+	for _, settings := range cluster.settings {
+		for _, other := range cluster.settings[:min(3, machines)] {
 			settings.SeedNodes = append(settings.SeedNodes, other.ListenOn.Control)
 		}
 	}
-	c.processes = make([]*Process, machines)
-	c.cancels = make([]context.CancelFunc, machines)
-	c.exits = make([]chan error, machines)
+	cluster.processes = make([]*Process, machines)
+	cluster.cancels = make([]context.CancelFunc, machines)
+	cluster.exits = make([]chan error, machines)
 	for i := range machines {
-		c.start(i)
+		cluster.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range c.processes {
-			c.stop(i)
+		for i := range cluster.processes {
+			cluster.stop(i)
 		}
 	})
-	return c
+	return cluster
 }
 
 func address(machine int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 1, byte(machine + 1)}) }
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -56,8 +56,9 @@
 // Pack returns the batch with its items in compressed form, or unchanged if it is below PackThresholdBytes. A packed
 // batch may be sent to many followers, each time with PackedAge set to the time since it was packed.
 //
-// The packed form is that of package deflate. The data in it are the number of items, and for each item the length of its key, the key, its index, its age in nanoseconds, and 0 for a deleted item, or 1, the
-// length of its value and the value. All numbers are unsigned varints.
+// The packed form is that of package deflate. The data in it are the number of items, and for each item the length of
+// its key, the key, its index, its age in nanoseconds, and 0 for a deleted item, or 1, the length of its value and the
+// value. All numbers are unsigned varints.
 func (b Batch) Pack() Batch {
 	if b.Size() < PackThresholdBytes {
 		return b
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -272,7 +272,7 @@
 	}
 	h.self.ID = id
 	h.nextMembershipCheck = 0
-	h.log.Info("replica started", zap.String("replica", formatReplicaID(id)))
+	h.log.Info("replica started", zap.String("replica", id.Hex()))
 	h.processReady()
 	for _, g := range h.groups {
 		if g.appliedIndex > 0 && h.options.OnApplied != nil {
@@ -325,6 +325,3 @@
 	rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
 }
-
-// formatReplicaID returns the form in which logs show a replica.
-func formatReplicaID(id consensus.ReplicaID) string { return fmt.Sprintf("%016x", uint64(id)) }
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -120,7 +120,7 @@
 	term := process.group.lastHardState.Term // a leader has made its term durable
 	id, ok := sim.oracle.leaders[term]
 	if ok && id != process.host.self.ID {
-		sim.fail("replicas %s and %s both led term %d", formatReplicaID(id), formatReplicaID(process.host.self.ID), term)
+		sim.fail("replicas %s and %s both led term %d", id.Hex(), process.host.self.ID.Hex(), term)
 	}
 	if !ok {
 		sim.logf("%d leads term %d", process.machine.index, term)
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -73,7 +73,7 @@
 			other.process.host.addAddress(machine.address())
 		}
 	}
-	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.index, formatReplicaID(machine.disk.id),
+	sim.logf("%d boots as %s: %+v, snapshot %d, log to %d", machine.index, machine.disk.id.Hex(),
 		stored.HardState, stored.Snapshot.Index, process.group.node.Status().LastIndex)
 	process.execute(func() {})
 }
--- a/internal/system/replica/unknown_leader_test.go
+++ b/internal/system/replica/unknown_leader_test.go
@@ -36,7 +36,7 @@
 		sim.runFor(4 * time.Second)
 		if got := away.process.group.appliedIndex; got < applied || sim.failure != "" {
 			t.Errorf("seed %d: the machine that was away has applied %d of %d, led by %s; %s", seed, got, applied,
-				formatReplicaID(away.process.group.node.Leader()), sim.failure)
+				away.process.group.node.Leader().Hex(), sim.failure)
 		}
 	}
 }
