--- a/internal/shared/capacity/selection.go
+++ b/internal/shared/capacity/selection.go
@@ -23,11 +23,12 @@
 		comparison = s.Candidate.compare(&candidate)
 	}
 	if comparison == 0 {
+		// As in reservoir sampling: each of the ties is then the best with the same probability.
 		if s.ties++; random.Next()%s.ties == 0 {
 			s.Best = worker
 		}
 	} else if comparison > 0 {
-		s.Best, s.Candidate, s.Found, s.ties = worker, candidate, true, 1
+		*s = Selection[W]{Best: worker, Candidate: candidate, Found: true, ties: 1}
 	}
 }
 
--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -18,7 +18,8 @@
 	handle              slotmap.Handle
 	fd                  int
 	handler             Handler
-	received, unsent    []byte // not consumed by the handler; not accepted by the socket
+	received            []byte // not consumed by the handler
+	unsent              []byte // given to Write, and not accepted by the socket
 	writtenBytes        uint64 // since the connection was established
 	connecting          bool
 	readFirst           bool // see ReadFirst
@@ -48,6 +49,7 @@
 	return l.connect(func() (int, error) { return l.system.Connect(addr) }, handler)
 }
 
+// connect returns a connection whose socket begin creates.
 func (l *Loop) connect(begin func() (fd int, err error), handler Handler) *Conn {
 	conn := &Conn{loop: l, fd: -1, handler: handler, connecting: true}
 	if !l.ensureFreeSocket() {
@@ -77,6 +79,7 @@
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
 }
 
+// register adds the connection to the loop and watches its events. It closes the connection if that fails.
 func (c *Conn) register(events uint32) error {
 	_ = unix.SetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c.handle = c.loop.conns.Insert(c)
@@ -109,6 +112,7 @@
 	return errors.Is(err, unix.EAGAIN)
 }
 
+// updateEvents watches the events that the state of the connection calls for.
 func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLRDHUP)
 	if !c.paused && !c.stalled {
@@ -136,6 +140,7 @@
 // still be unread.
 func (c *Conn) HungUp() bool { return c.hungUp }
 
+// fail closes the connection and reports the error to its handler.
 func (c *Conn) fail(err error) {
 	if h := c.handler; h != nil {
 		c.Close()
@@ -143,23 +148,15 @@
 	}
 }
 
+// handleEvent handles the events that epoll reports.
 func (c *Conn) handleEvent(events uint32) {
 	if c.failed {
 		return
 	}
 	if c.connecting {
-		if err := c.loop.system.SocketError(c.fd); err != nil {
-			c.fail(fmt.Errorf("eventloop: connect: %w", err))
+		if !c.finishConnecting(events) {
 			return
 		}
-		if events&(unix.EPOLLOUT|unix.EPOLLIN) == 0 {
-			return
-		}
-		c.connecting, c.awaitsWritable = false, true
-		c.handler.Opened(c)
-		if c.fd >= 0 && !c.failed {
-			c.flush()
-		}
 	} else if events&unix.EPOLLOUT != 0 {
 		c.flush()
 	}
@@ -176,6 +173,24 @@
 	}
 }
 
+// finishConnecting handles an event of a connection that is not established yet; false if it still isn't.
+func (c *Conn) finishConnecting(events uint32) bool {
+	if err := c.loop.system.SocketError(c.fd); err != nil {
+		c.fail(fmt.Errorf("eventloop: connect: %w", err))
+		return false
+	}
+	if events&(unix.EPOLLOUT|unix.EPOLLIN) == 0 {
+		return false
+	}
+	c.connecting = false
+	c.awaitsWritable = true // as Connect has watched it
+	c.handler.Opened(c)
+	if c.fd >= 0 && !c.failed {
+		c.flush()
+	}
+	return true
+}
+
 // SetKeepAlive lets the kernel detect an unreachable peer. ackTimeout is how long sent bytes may stay unacknowledged,
 // with a resolution of a millisecond; idleTime is how long the peer may be silent before it is probed, in whole seconds.
 func (c *Conn) SetKeepAlive(ackTimeout, idleTime time.Duration) {
--- a/internal/shared/eventloop/conn_close.go
+++ b/internal/shared/eventloop/conn_close.go
@@ -33,7 +33,8 @@
 		c.fd = -1
 		c.loop.bufferedBytes -= len(c.received) // the owner may still read them
 	}
-	c.handler, c.failed = nil, true
+	c.handler = nil
+	c.failed = true
 }
 
 // Reset closes the connection with a reset, so that the peer cannot mistake what was written for a complete message.
@@ -56,6 +57,7 @@
 	}
 }
 
+// shutdownWrite closes the write side for CloseWrite.
 func (c *Conn) shutdownWrite() {
 	c.writeClosed = c.loop.system.ShutdownWrite(c.fd) == nil
 }
@@ -114,7 +116,8 @@
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 			return
 		}
-		if c.discardedBytes += n; err != nil || n == 0 || c.discardedBytes > maxLingerDiscardBytes {
+		c.discardedBytes += n
+		if err != nil || n == 0 || c.discardedBytes > maxLingerDiscardBytes {
 			c.Close()
 		}
 	}
--- a/internal/shared/eventloop/conn_read.go
+++ b/internal/shared/eventloop/conn_read.go
@@ -16,7 +16,8 @@
 	if c.fd >= 0 {
 		c.loop.bufferedBytes -= n
 	}
-	if c.received = c.received[n:]; len(c.received) == 0 {
+	c.received = c.received[n:]
+	if len(c.received) == 0 {
 		c.received = nil
 	}
 }
@@ -53,8 +54,12 @@
 	_ = c.loop.watch(unix.EPOLL_CTL_DEL, c.fd, 0, 0)
 }
 
+// mayRead reports whether the handler is to get what arrives.
+func (c *Conn) mayRead() bool { return c.fd >= 0 && !c.failed && !c.paused && !c.stalled }
+
+// handleReadable reads what has arrived, as far as maxReadsPerIteration allows, and passes it to the handler.
 func (c *Conn) handleReadable() {
-	for i := 0; i < maxReadsPerIteration && c.fd >= 0 && !c.failed && !c.paused && !c.stalled; i++ {
+	for i := 0; i < maxReadsPerIteration && c.mayRead(); i++ {
 		if c.closeAfterFlush { // after the last response nothing that arrives is of interest
 			c.discardReceived()
 			return
--- a/internal/shared/eventloop/conn_transfer.go
+++ b/internal/shared/eventloop/conn_transfer.go
@@ -9,10 +9,11 @@
 // Detach gives up the connection without closing it and returns its descriptor and the bytes that were not consumed.
 // The handler gets no more callbacks.
 func (c *Conn) Detach() (fd int, received []byte) {
-	fd, received = c.fd, c.received
-	if fd < 0 {
+	if c.fd < 0 {
 		return -1, nil
 	}
+	fd = c.fd
+	received = c.received
 	// the socket stays open elsewhere, so its events would continue here
 	_ = c.loop.watch(unix.EPOLL_CTL_DEL, fd, 0, 0)
 	c.loop.bufferedBytes -= len(c.received)
@@ -33,7 +34,8 @@
 	if err := conn.register(unix.EPOLLIN | unix.EPOLLRDHUP); err != nil {
 		return err
 	}
-	if conn.handler = newHandler(conn); len(received) > 0 {
+	conn.handler = newHandler(conn)
+	if len(received) > 0 {
 		l.Defer(func() {
 			if conn.handler != nil && !conn.failed {
 				conn.handler.Data(conn)
--- a/internal/shared/eventloop/conn_write.go
+++ b/internal/shared/eventloop/conn_write.go
@@ -22,7 +22,8 @@
 		}
 		b = b[n:]
 	}
-	if c.unsent = append(c.unsent, b...); len(c.unsent) > 0 {
+	c.unsent = append(c.unsent, b...)
+	if len(c.unsent) > 0 {
 		c.updateWriteInterest()
 	}
 }
@@ -65,6 +66,7 @@
 	return n, nil
 }
 
+// flush sends what the socket accepts of the unsent bytes, and does what is due once there are none.
 func (c *Conn) flush() {
 	n, err := c.send(c.unsent)
 	c.writtenBytes += uint64(n)
@@ -103,10 +105,9 @@
 	if c.fd < 0 || c.connecting {
 		return
 	}
-	want := len(c.unsent) > 0
-	if want == c.awaitsWritable {
-		return
+	awaitsWritable := len(c.unsent) > 0
+	if awaitsWritable != c.awaitsWritable {
+		c.awaitsWritable = awaitsWritable
+		c.updateEvents()
 	}
-	c.awaitsWritable = want
-	c.updateEvents()
 }
--- a/internal/shared/eventloop/descriptor_passing.go
+++ b/internal/shared/eventloop/descriptor_passing.go
@@ -19,6 +19,7 @@
 // outgoingDescriptor is a descriptor to be sent with the byte at an offset of the unsent bytes.
 type outgoingDescriptor struct{ offset, fd int }
 
+// closeAll closes the descriptors that nobody has taken or sent. The queue may be nil.
 func (q *descriptorQueue) closeAll() {
 	if q == nil {
 		return
@@ -29,7 +30,8 @@
 	for _, descriptor := range q.outgoing {
 		unix.Close(descriptor.fd)
 	}
-	q.received, q.outgoing = nil, nil
+	q.received = nil
+	q.outgoing = nil
 }
 
 // EnableDescriptorPassing allows passing descriptors on the connection, which must be a Unix socket.
@@ -50,7 +52,8 @@
 	if c.descriptors == nil || len(c.descriptors.received) == 0 {
 		return -1, false
 	}
-	fd, c.descriptors.received = c.descriptors.received[0], c.descriptors.received[1:]
+	fd = c.descriptors.received[0]
+	c.descriptors.received = c.descriptors.received[1:]
 	return fd, true
 }
 
@@ -60,16 +63,17 @@
 		return c.writeSocket(b)
 	}
 	for n < len(b) {
-		end, oob := len(b), []byte(nil)
+		end := len(b)
+		var rights []byte // control message with the descriptor that goes along
 		for i, next := range c.descriptors.outgoing {
 			if i == 0 && next.offset == n {
-				oob = unix.UnixRights(next.fd)
-			} else {
+				rights = unix.UnixRights(next.fd)
+			} else { // the next descriptor goes with a write of its own
 				end = next.offset
 				break
 			}
 		}
-		sent, err := unix.SendmsgN(c.fd, b[n:end], oob, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		sent, err := unix.SendmsgN(c.fd, b[n:end], rights, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
@@ -80,7 +84,8 @@
 		if sent <= 0 {
 			break
 		}
-		if n += sent; oob != nil {
+		n += sent
+		if rights != nil {
 			unix.Close(c.descriptors.outgoing[0].fd)
 			c.descriptors.outgoing = c.descriptors.outgoing[1:]
 		}
--- a/internal/shared/eventloop/listener.go
+++ b/internal/shared/eventloop/listener.go
@@ -16,10 +16,9 @@
 	handle     slotmap.Handle
 	fd         int
 	newHandler func(c *Conn) Handler
-	paused     bool
-
-	suspended bool // see SetSuspended
-	shared    bool // other processes have the socket too
+	paused     bool // see pauseAccepting
+	suspended  bool // see SetSuspended
+	shared     bool // other processes have the socket too
 
 	reservedLimit int         // maximum of open connections of a reserved listener; 0: not reserved
 	reservedOpen  int         // open connections of a reserved listener
@@ -58,7 +57,8 @@
 
 // reserve takes the listener and its connections out of the loop's socket limit.
 func (ln *Listener) reserve(limit int, closeOne func() bool) {
-	ln.reservedLimit, ln.closeOne = limit, closeOne
+	ln.reservedLimit = limit
+	ln.closeOne = closeOne
 	ln.loop.reservedSockets++
 }
 
@@ -125,6 +125,7 @@
 	return ln.reservedOpen < ln.reservedLimit || ln.closeOne()
 }
 
+// acceptPending accepts the connections in the backlog, as far as descriptors and maxAcceptsPerIteration allow.
 func (ln *Listener) acceptPending() {
 	for i := 0; i < maxAcceptsPerIteration && !ln.suspended; i++ {
 		if !ln.ensureFreeSocket() {
@@ -139,17 +140,8 @@
 		fd, err := ln.loop.system.Accept(ln.fd)
 		switch {
 		case err == nil:
-			conn := &Conn{loop: ln.loop, fd: fd}
-			if ln.reservedLimit > 0 {
-				conn.reservedBy = ln
-				ln.reservedOpen++
-				ln.loop.reservedSockets++
-			}
-			if conn.register(unix.EPOLLIN|unix.EPOLLRDHUP) != nil {
-				continue
-			}
-			conn.handler = ln.newHandler(conn)
-		case errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) || errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM):
+			ln.addConn(fd)
+		case isDescriptorLimit(err) || errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM):
 			if !ln.loop.freeDescriptor() {
 				ln.pauseAccepting()
 				return
@@ -161,6 +153,19 @@
 	}
 }
 
+// addConn adds an accepted connection.
+func (ln *Listener) addConn(fd int) {
+	conn := &Conn{loop: ln.loop, fd: fd}
+	if ln.reservedLimit > 0 {
+		conn.reservedBy = ln
+		ln.reservedOpen++
+		ln.loop.reservedSockets++
+	}
+	if conn.register(unix.EPOLLIN|unix.EPOLLRDHUP) == nil {
+		conn.handler = ln.newHandler(conn)
+	}
+}
+
 // pauseAccepting leaves connections in the backlog for acceptPauseSeconds. Without a free descriptor the loop would
 // only spin.
 func (ln *Listener) pauseAccepting() {
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -61,25 +61,26 @@
 	OnLateWakeup      func(late float64)
 	LateWakeupSeconds float64
 
-	system            System
-	socketLimit       int
-	conns             slotmap.Map[*Conn]
-	listeners         slotmap.Map[*Listener]
-	udpSockets        map[uint32]*UDPSocket // by the number in their handle
-	lastUDPSocket     uint32
-	readFirst         []*Conn
-	lingering         []*Conn // oldest first
-	bufferedBytes     int     // received and not consumed, over all connections
-	reservedSockets   int     // reserved listeners and their connections
-	now, startSeconds float64
-	startTime         time.Time // of System's clock, at startSeconds
-	readBuffer        []byte
-	deferred          []func()
-	stopped           bool
-	iterations        IterationStats
+	system          System
+	socketLimit     int
+	conns           slotmap.Map[*Conn]
+	listeners       slotmap.Map[*Listener]
+	udpSockets      map[uint32]*UDPSocket // by the number in their handle
+	lastUDPSocket   uint32
+	readFirst       []*Conn   // see Conn.ReadFirst
+	lingering       []*Conn   // oldest first
+	bufferedBytes   int       // received and not consumed, over all connections
+	reservedSockets int       // reserved listeners and their connections
+	now             float64   // see Now
+	startSeconds    float64   // Unix time at which the loop was created
+	startTime       time.Time // of System's clock, at startSeconds
+	readBuffer      []byte
+	deferred        []func() // see Defer
+	stopped         bool
+	iterations      IterationStats
 
 	mutex  sync.Mutex
-	posted []func()
+	posted []func() // see Post
 }
 
 // NewLoop creates a loop that has at most limit sockets open.
@@ -93,7 +94,12 @@
 
 // NewLoopWithSystem creates a loop over another System than the kernel, for simulations.
 func NewLoopWithSystem(system System, limit int) *Loop {
-	l := &Loop{system: system, socketLimit: limit, readBuffer: make([]byte, readBufferBytes), udpSockets: map[uint32]*UDPSocket{}}
+	l := &Loop{
+		system:      system,
+		socketLimit: limit,
+		readBuffer:  make([]byte, readBufferBytes),
+		udpSockets:  map[uint32]*UDPSocket{},
+	}
 	// Unix time at the start plus the monotonic clock: times are comparable with boot_ms and never go back.
 	l.startTime = system.Now()
 	l.startSeconds = float64(l.startTime.UnixMicro()) / 1e6
@@ -139,44 +145,20 @@
 	events := make([]unix.EpollEvent, maxEventsPerWait)
 	began := l.now // start of the current iteration
 	for !l.stopped {
-		wait, before := -1, began
-		if len(l.deferred) > 0 {
-			wait = 0
-		} else if due, pending := l.nextDue(); pending {
-			l.updateTime()
-			wait = max(0, int((due-l.now)*1000+0.999))
-		}
-		n, err := l.system.Wait(events, wait)
+		previous := began
+		timeout := l.waitTimeout()
+		n, err := l.system.Wait(events, timeout)
 		if err != nil {
 			return err
 		}
 		l.updateTime()
 		began = l.now
-		// the previous iteration counts too: a process may be stopped anywhere
-		if late := l.now - before - float64(wait)/1000; wait >= 0 && l.OnLateWakeup != nil && late > l.LateWakeupSeconds {
-			l.OnLateWakeup(late)
-		}
-		for _, conn := range l.readFirst { // what such a peer has sent takes effect before anything else can be sent
-			if !conn.connecting {
-				conn.handleReadable()
-			}
+		if timeout >= 0 { // the previous iteration counts too: a process may be stopped anywhere
+			l.reportLateness(began - previous - float64(timeout)/1000)
 		}
+		l.handleReadFirst()
 		l.runDeferred()
-		if l.reservedSockets > 0 {
-			for i := range events[:n] {
-				if l.isReserved(&events[i]) {
-					l.dispatch(events[i])
-					l.runDeferred()
-					events[i].Events = 0
-				}
-			}
-		}
-		for _, event := range events[:n] {
-			if event.Events != 0 {
-				l.dispatch(event)
-				l.runDeferred()
-			}
-		}
+		l.dispatchAll(events[:n])
 		l.runDue(l.now)
 		l.runDeferred()
 		l.endIteration()
@@ -184,6 +166,55 @@
 	return nil
 }
 
+// waitTimeout returns how long to wait for events, in milliseconds, rounded up; -1: until there are some.
+func (l *Loop) waitTimeout() int {
+	if len(l.deferred) > 0 {
+		return 0
+	}
+	due, pending := l.nextDue()
+	if !pending {
+		return -1
+	}
+	l.updateTime()
+	return max(0, int((due-l.now)*1000+0.999))
+}
+
+// reportLateness calls OnLateWakeup if an iteration starts too late, by the given seconds.
+func (l *Loop) reportLateness(late float64) {
+	if l.OnLateWakeup != nil && late > l.LateWakeupSeconds {
+		l.OnLateWakeup(late)
+	}
+}
+
+// handleReadFirst reads the connections with ReadFirst: what their peers have sent takes effect before anything else can
+// be sent.
+func (l *Loop) handleReadFirst() {
+	for _, conn := range l.readFirst {
+		if !conn.connecting {
+			conn.handleReadable()
+		}
+	}
+}
+
+// dispatchAll handles the events of an iteration, those of reserved listeners first.
+func (l *Loop) dispatchAll(events []unix.EpollEvent) {
+	if l.reservedSockets > 0 {
+		for i := range events {
+			if l.isReserved(&events[i]) {
+				l.dispatch(events[i])
+				l.runDeferred()
+				events[i].Events = 0 // handled
+			}
+		}
+	}
+	for _, event := range events {
+		if event.Events != 0 {
+			l.dispatch(event)
+			l.runDeferred()
+		}
+	}
+}
+
 func (l *Loop) runDeferred() {
 	for len(l.deferred) > 0 {
 		do := l.deferred[0]
@@ -195,6 +226,7 @@
 // udpHandle returns the handle of a UDP socket.
 func udpHandle(id uint32) slotmap.Handle { return slotmap.Handle(id) }
 
+// eventHandle returns the handle that watch was given.
 func eventHandle(event *unix.EpollEvent) slotmap.Handle {
 	return slotmap.Handle(uint64(uint32(event.Pad))<<32 | uint64(uint32(event.Fd)))
 }
@@ -213,14 +245,7 @@
 func (l *Loop) dispatch(event unix.EpollEvent) {
 	handle := eventHandle(&event)
 	if handle == wakeHandle {
-		l.system.ClearWake()
-		l.mutex.Lock()
-		posted := l.posted
-		l.posted = nil
-		l.mutex.Unlock()
-		for _, do := range posted {
-			do()
-		}
+		l.runPosted()
 		return
 	}
 	if handle&listenerFlag != 0 {
@@ -240,8 +265,25 @@
 	}
 }
 
+// runPosted runs what Post was given.
+func (l *Loop) runPosted() {
+	l.system.ClearWake()
+	l.mutex.Lock()
+	posted := l.posted
+	l.posted = nil
+	l.mutex.Unlock()
+	for _, do := range posted {
+		do()
+	}
+}
+
+// watch changes the watched events of a descriptor by an operation of epoll_ctl.
 func (l *Loop) watch(operation, fd int, handle slotmap.Handle, events uint32) error {
-	return l.system.Watch(operation, fd, unix.EpollEvent{Events: events, Fd: int32(uint32(handle)), Pad: int32(uint32(handle >> 32))})
+	return l.system.Watch(operation, fd, unix.EpollEvent{
+		Events: events,
+		Fd:     int32(uint32(handle)), // Fd and Pad are the two halves of the user data
+		Pad:    int32(uint32(handle >> 32)),
+	})
 }
 
 func (l *Loop) closeAll() {
@@ -256,6 +298,7 @@
 // ensureFreeSocket makes sure that one more socket may be opened; false if no connection can be closed for it.
 func (l *Loop) ensureFreeSocket() bool { return l.OpenSockets() < l.socketLimit || l.freeDescriptor() }
 
+// freeDescriptor closes a connection that can be spared; false if there is none.
 func (l *Loop) freeDescriptor() bool {
 	if len(l.lingering) > 0 {
 		l.lingering[0].Close()
--- a/internal/shared/eventloop/loop_test.go
+++ b/internal/shared/eventloop/loop_test.go
@@ -127,7 +127,10 @@
 	d.At(1, note("a"))
 	stopped := d.At(1, note("stopped"))
 	d.At(1, note("b"))
-	d.At(2, func() { got = append(got, "again"); d.At(0, note("next turn")) })
+	d.At(2, func() {
+		got = append(got, "again")
+		d.At(0, note("next turn"))
+	})
 	stopped.Stop()
 	stopped.Stop()
 	(*Timer)(nil).Stop()
@@ -143,19 +146,22 @@
 	}
 }
 
-// replyingHandler counts the bytes received on a connection between two processes, and answers each read.
-type replyingHandler struct {
+// countingHandler counts the bytes received on a connection, and stops the loop when it is closed.
+type countingHandler struct {
 	loop   *Loop
 	got    int
 	closed error
 }
 
-func (h *replyingHandler) Opened(*Conn) {}
-func (h *replyingHandler) Data(c *Conn) {
+func (h *countingHandler) Opened(*Conn) {}
+func (h *countingHandler) Data(c *Conn) {
 	h.got += len(c.Bytes())
 	c.Consume(len(c.Bytes()))
 }
-func (h *replyingHandler) Closed(_ *Conn, err error) { h.closed = err; h.loop.Stop() }
+func (h *countingHandler) Closed(_ *Conn, err error) {
+	h.closed = err
+	h.loop.Stop()
+}
 
 // What a process sent before it exited is read although a write fails first.
 func TestReadsBytesSentBeforePeerExit(t *testing.T) {
@@ -167,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := &replyingHandler{loop: loop}
+	handler := &countingHandler{loop: loop}
 	var conn *Conn
 	if err := loop.Adopt(pair[0], nil, func(c *Conn) Handler {
 		c.EnableDescriptorPassing()
@@ -226,7 +232,10 @@
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { listener.acceptPending(); close(done) }() // as if another process had accepted the connection
+	go func() {
+		listener.acceptPending() // as if another process had accepted the connection
+		close(done)
+	}()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
--- a/internal/shared/eventloop/timers.go
+++ b/internal/shared/eventloop/timers.go
@@ -43,8 +43,8 @@
 // runDue runs the timers that are due. Timers set meanwhile wait for the next iteration, because one set in the past
 // could keep the loop here forever.
 func (t *Timers) runDue(now float64) {
-	last := t.sequence
-	for len(t.entries) > 0 && t.entries[0].due <= now && t.entries[0].sequence <= last {
+	lastSequence := t.sequence
+	for len(t.entries) > 0 && t.entries[0].due <= now && t.entries[0].sequence <= lastSequence {
 		heap.Pop(t).(*Timer).callback()
 	}
 }
@@ -61,21 +61,23 @@
 // Swap implements heap.Interface.
 func (t *Timers) Swap(i, j int) {
 	t.entries[i], t.entries[j] = t.entries[j], t.entries[i]
-	t.entries[i].index, t.entries[j].index = i, j
+	t.entries[i].index = i
+	t.entries[j].index = j
 }
 
 // Push implements heap.Interface; use At to add a timer.
 func (t *Timers) Push(x any) {
-	e := x.(*Timer)
-	e.index = len(t.entries)
-	t.entries = append(t.entries, e)
+	timer := x.(*Timer)
+	timer.index = len(t.entries)
+	t.entries = append(t.entries, timer)
 }
 
 // Pop implements heap.Interface; runDue runs the timers that are due.
 func (t *Timers) Pop() any {
-	n := len(t.entries) - 1
-	e := t.entries[n]
-	t.entries[n] = nil
-	t.entries, e.index = t.entries[:n], -1
-	return e
+	last := len(t.entries) - 1
+	timer := t.entries[last]
+	timer.index = -1
+	t.entries[last] = nil
+	t.entries = t.entries[:last]
+	return timer
 }
--- a/internal/shared/eventloop/unix_socket.go
+++ b/internal/shared/eventloop/unix_socket.go
@@ -6,24 +6,27 @@
 	"path/filepath"
 
 	"golang.org/x/sys/unix"
-
-	"cinderroad/internal/shared/slotmap"
 )
 
 // ConnectUnix starts a connection to a Unix socket.
 func (l *Loop) ConnectUnix(path string, handler Handler) *Conn {
-	return l.connect(func() (int, error) { return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: path}) }, handler)
+	return l.connect(func() (int, error) { return connectUnixSocket(path) }, handler)
+}
+
+// connectUnixSocket starts a connection to a Unix socket.
+func connectUnixSocket(path string) (fd int, err error) {
+	return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: path})
 }
 
 // ConnectUnixWithDescriptors starts a connection to a Unix socket that passes descriptors. The path may be of any
 // length.
 func (l *Loop) ConnectUnixWithDescriptors(path string, handler Handler) (conn *Conn) {
 	err := withShortPath(path, func(short string) error {
-		conn = l.connect(func() (int, error) { return connectSocket(unix.AF_UNIX, &unix.SockaddrUnix{Name: short}) }, handler)
+		conn = l.connect(func() (int, error) { return connectUnixSocket(short) }, handler)
 		return nil
 	})
 	if err != nil {
-		conn = &Conn{loop: l, fd: -1, handler: handler, connecting: true, handle: slotmap.Handle(0)}
+		conn = &Conn{loop: l, fd: -1, handler: handler, connecting: true}
 		conn.failLater(err)
 	}
 	conn.EnableDescriptorPassing()
--- a/internal/shared/httpwire/body.go
+++ b/internal/shared/httpwire/body.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxChunkLineBytes = 1024
-	maxTrailerBytes   = 16 << 10
-	maxChunkBytes     = 1 << 31
+	maxChunkLineBytes = 1024     // of the line before a chunk
+	maxTrailerBytes   = 16 << 10 // of the fields after the last chunk
+	maxChunkBytes     = 1 << 31  // sizes of chunks are below this
 )
 
 // FramingKind is the way in which the end of a body is determined.
@@ -32,7 +32,8 @@
 // framing returns the framing that a header announces. More than one length or coding is an error: the next hop could
 // read it differently, and a request could be smuggled in the body.
 func framing(header Header) (Framing, error) {
-	lengths, codings := header.Count("Content-Length"), header.Count("Transfer-Encoding")
+	lengths := header.Count("Content-Length")
+	codings := header.Count("Transfer-Encoding")
 	switch {
 	case lengths+codings > 1:
 		return Framing{}, NewSyntaxError(400, "two lengths")
@@ -64,10 +65,10 @@
 type chunkState uint8
 
 const (
-	chunkStateLine chunkState = iota
-	chunkStateData
-	chunkStateEnd
-	chunkStateTrailer
+	chunkStateLine    chunkState = iota // the line with the chunk's size
+	chunkStateData                      // bytes of the chunk
+	chunkStateEnd                       // the line break after them
+	chunkStateTrailer                   // the fields after the last chunk
 )
 
 // BodyReader decodes a body incrementally. Call Reset before the first byte.
@@ -75,7 +76,7 @@
 	kind         FramingKind
 	state        chunkState
 	remaining    int64 // bytes of the body, or of the current chunk
-	trailerBytes int   // bytes read
+	trailerBytes int   // bytes of the trailer that were consumed
 }
 
 // Reset prepares the reader for a new body.
@@ -132,7 +133,8 @@
 				return nil, n, false, err
 			}
 			n += consumed
-			r.remaining, r.state = size, chunkStateData
+			r.remaining = size
+			r.state = chunkStateData
 			if size == 0 {
 				r.state = chunkStateTrailer
 			}
@@ -160,7 +162,8 @@
 			return n, false, NewSyntaxError(400, "trailer field")
 		}
 		n += end + 2
-		if r.trailerBytes += end + 2; r.trailerBytes > maxTrailerBytes {
+		r.trailerBytes += end + 2
+		if r.trailerBytes > maxTrailerBytes {
 			return n, false, NewSyntaxError(431, "trailer too large")
 		}
 	}
--- a/internal/shared/httpwire/header.go
+++ b/internal/shared/httpwire/header.go
@@ -59,8 +59,19 @@
 
 // hopByHop lists the fields that concern one connection only and those that frame a body, which each hop writes anew.
 // Fields named by Connection are hop-by-hop as well.
-var hopByHop = [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
-	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
+var hopByHop = [...]string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Connection",
+	"Proxy-Authenticate",
+	"Proxy-Authorization",
+	"TE",
+	"Trailer",
+	"Transfer-Encoding",
+	"Upgrade",
+	"Content-Length",
+	"Expect",
+}
 
 // IsEndToEnd reports whether a field of the header is forwarded to the next hop.
 func (h Header) IsEndToEnd(name string) bool {
--- a/internal/shared/httpwire/request.go
+++ b/internal/shared/httpwire/request.go
@@ -18,7 +18,8 @@
 // SkipBlankLines returns the number of bytes of empty lines before a request, which are ignored.
 func SkipBlankLines(b []byte) (n int, err error) {
 	for bytes.HasPrefix(b[n:], []byte("\r\n")) {
-		if n += 2; n > maxBlankBytes {
+		n += 2
+		if n > maxBlankBytes {
 			return 0, NewSyntaxError(400, "no request")
 		}
 	}
@@ -54,8 +55,9 @@
 func ParseRequestLine(line string) (method, target, version string, err error) {
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, _ = strings.Cut(rest, " ")
-	if !IsToken(method) || !strings.HasPrefix(target, "/") || !IsVisibleASCII(target) || version == "" ||
-		strings.Contains(version, " ") {
+	validTarget := strings.HasPrefix(target, "/") && IsVisibleASCII(target)
+	validVersion := version != "" && !strings.Contains(version, " ")
+	if !IsToken(method) || !validTarget || !validVersion {
 		return "", "", "", NewSyntaxError(400, "request line")
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
--- a/internal/shared/httpwire/response.go
+++ b/internal/shared/httpwire/response.go
@@ -58,7 +58,8 @@
 	version, rest, _ := strings.Cut(line, " ")
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err = strconv.Atoi(code)
-	if err != nil || len(code) != 3 || status < 100 || version != "HTTP/1.1" && version != "HTTP/1.0" {
+	validStatus := err == nil && len(code) == 3 && status >= 100
+	if !validStatus || version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return "", 0, "", NewSyntaxError(502, "status line")
 	}
 	return version, status, reason, nil
--- a/internal/shared/httpwire/write.go
+++ b/internal/shared/httpwire/write.go
@@ -2,11 +2,24 @@
 
 import "strconv"
 
-// reasonPhrases by the statuses that the programs send.
-var reasonPhrases = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
-	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-	431: "Request Header Fields Too Large", 500: "Internal Server Error", 502: "Bad Gateway",
-	503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
+// reasonPhrases are the reason phrases of the statuses that the programs send.
+var reasonPhrases = map[int]string{
+	200: "OK",
+	202: "Accepted",
+	204: "No Content",
+	400: "Bad Request",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	408: "Request Timeout",
+	409: "Conflict",
+	413: "Content Too Large",
+	431: "Request Header Fields Too Large",
+	500: "Internal Server Error",
+	502: "Bad Gateway",
+	503: "Service Unavailable",
+	504: "Gateway Timeout",
+	505: "HTTP Version Not Supported",
+}
 
 // ReasonPhrase returns the reason phrase of a status; empty for a status that the programs never send.
 func ReasonPhrase(status int) string { return reasonPhrases[status] }
--- a/internal/shared/membership/broadcast.go
+++ b/internal/shared/membership/broadcast.go
@@ -41,26 +41,35 @@
 	if msg.Subject != nil {
 		remaining -= msg.Subject.maxEncodedSize()
 	}
-	limit := retransmitLimit(retransmitMultiplier, len(n.members))
+	limit := retransmitLimit(len(n.members))
 	for i := range n.broadcasts {
-		var record Record
-		if b := &n.broadcasts[i]; b.name == n.self.Name {
-			record = n.self.Record
-		} else if peer := n.byName[b.name]; peer != nil {
-			record = peer.outgoingRecord(n.now)
-		} else {
+		b := &n.broadcasts[i]
+		record, known := n.recordOf(b.name)
+		if !known { // removed meanwhile
 			b.transmits = limit
 			continue
 		}
-		if remaining -= record.maxEncodedSize(); remaining < 0 || len(msg.Records) == maxRecords {
+		remaining -= record.maxEncodedSize()
+		if remaining < 0 || len(msg.Records) == maxRecords {
 			break
 		}
 		msg.Records = append(msg.Records, record)
-		n.broadcasts[i].transmits++
+		b.transmits++
 	}
 	n.broadcasts = slices.DeleteFunc(n.broadcasts, func(b broadcast) bool { return b.transmits >= limit })
 }
 
+// recordOf returns the record of a member, which may be this one, as it is sent.
+func (n *Node) recordOf(name string) (record Record, known bool) {
+	if name == n.self.Name {
+		return n.self.Record, true
+	}
+	if peer := n.byName[name]; peer != nil {
+		return peer.outgoingRecord(n.now), true
+	}
+	return Record{}, false
+}
+
 // gossip sends broadcasts and urgent payloads to random members.
 func (n *Node) gossip() {
 	if n.PlainSWIM || !n.hasUrgent() {
@@ -79,18 +88,18 @@
 	return len(n.broadcasts) > 0 || n.Delegate != nil && n.Delegate.HasUrgent()
 }
 
-// Announce sends the broadcasts at once to all alive and suspect members for which to returns true.
-func (n *Node) Announce(now float64, to func(*Record) bool) {
+// Announce sends the broadcasts at once to all alive and suspect members that are selected by their record.
+func (n *Node) Announce(now float64, selects func(*Record) bool) {
 	if !n.started || n.left || n.withdrawn {
 		return
 	}
 	n.now = math.Max(n.now, now)
 	for _, peer := range n.members {
-		if peer.State <= Suspect && to(&peer.Record) {
+		if peer.State <= Suspect && selects(&peer.Record) {
 			n.send(peer.Addr, &Message{Kind: Update})
 		}
 	}
 }
 
-// retransmitLimit returns how often a broadcast is sent.
-func retransmitLimit(times float64, others int) int { return int(math.Ceil(times * logScale(others))) }
+// retransmitLimit returns how often a broadcast is sent in a cluster with the given number of other members.
+func retransmitLimit(others int) int { return int(math.Ceil(retransmitMultiplier * logScale(others))) }
--- a/internal/shared/membership/config.go
+++ b/internal/shared/membership/config.go
@@ -48,6 +48,7 @@
 	gossipFanout           = 2    // members that get the broadcasts at each tick
 	reconnectInterval      = 10.0 // between pings of dead members, and of seeds that are no known member's address
 	syncInterval           = 3.0  // between exchanges of digests once recognized: most differences are broadcasts on their way
+	joiningSyncInterval    = 1.0  // between exchanges of digests until then
 	metadataSyncInterval   = 10.0 // between exchanges of digests if only metadata differs
 	maxPagesPerInterval    = 32   // messages of records sent in a probe interval
 	pauseThreshold         = 3.0  // delay of a tick from which the process counts as paused
--- a/internal/shared/membership/node.go
+++ b/internal/shared/membership/node.go
@@ -233,7 +233,7 @@
 	n.self.stateSince = now
 	n.left = true
 	n.queueBroadcast(n.self.Name)
-	for _, peer := range n.randomMembers(retransmitLimit(retransmitMultiplier, len(n.members)), "") {
+	for _, peer := range n.randomMembers(retransmitLimit(len(n.members)), "") {
 		n.send(peer.Addr, &Message{Kind: Update})
 	}
 }
--- a/internal/shared/membership/probe.go
+++ b/internal/shared/membership/probe.go
@@ -9,19 +9,22 @@
 type probe struct {
 	name                 string
 	seq                  uint64
-	sentAt, deadline     float64
+	sentAt               float64 // time of the first ping
+	deadline             float64 // time when the probe ends
+	indirect             bool    // other members were asked to ping
 	retryAt              float64 // time of the next ping, once indirect
-	indirect, acked      bool
-	nacks, expectedNacks int
+	acked                bool
+	nacks, expectedNacks int // while indirect
 }
 
 // indirectProbe is a ping sent on behalf of another member.
 type indirectProbe struct {
-	seq, requesterSeq uint64
-	requester         netip.AddrPort
-	target            Record
-	sentAt            float64
-	nacked            bool
+	seq          uint64 // of this node's ping
+	requesterSeq uint64 // of the requester's probe
+	requester    netip.AddrPort
+	target       Record
+	sentAt       float64
+	nacked       bool // a nack was sent to the requester
 }
 
 // timeoutFactor lengthens timeouts: a node that is slow itself must not suspect others for it.
@@ -32,12 +35,14 @@
 	return float64(1 + n.awareness)
 }
 
+// adjustAwareness changes the local health multiplier of Lifeguard within its bounds.
 func (n *Node) adjustAwareness(by int) { n.awareness = min(max(n.awareness+by, 0), maxAwareness-1) }
 
 // advanceProbe acts on the deadlines of the current probe, and starts the next one when its time is over.
 func (n *Node) advanceProbe() {
 	current := &n.probe
-	if peer := n.byName[current.name]; peer != nil && current.indirect && !current.acked && !n.PlainSWIM && n.now >= current.retryAt {
+	peer := n.byName[current.name] // nil if there is nobody to probe, or the member was removed
+	if peer != nil && current.indirect && !current.acked && !n.PlainSWIM && n.now >= current.retryAt {
 		current.retryAt = n.now + probeRetryInterval*n.ProbeInterval*n.timeoutFactor()
 		n.sendPing(peer, current.seq) // a datagram may be lost, and a ping costs less than a suspicion does
 	}
@@ -48,7 +53,7 @@
 	if n.now < current.deadline {
 		return
 	}
-	if peer := n.byName[current.name]; peer != nil && current.name != "" && !current.acked && peer.State <= Suspect {
+	if peer != nil && !current.acked && peer.State <= Suspect {
 		n.FailedProbes++
 		// missing nacks as well as a missing ack point to this node
 		n.adjustAwareness(1 + max(0, current.expectedNacks-current.nacks))
@@ -109,6 +114,7 @@
 	}
 }
 
+// sendPing pings a member, and tells it what this node holds of it, so that it can refute a suspicion.
 func (n *Node) sendPing(peer *member, seq uint64) {
 	subject := peer.outgoingRecord(n.now)
 	subject.Metadata = nil
--- a/internal/shared/membership/state.go
+++ b/internal/shared/membership/state.go
@@ -139,7 +139,7 @@
 	n.queueBroadcast(peer.Name)
 }
 
-// addMember adds a member without a record.
+// addMember adds a member with the name of a record. The caller sets its record.
 func (n *Node) addMember(record Record) *member {
 	peer := &member{key: Key(record.Name), lastReconnect: n.now}
 	i, _ := n.searchMember(record.Name)
@@ -159,34 +159,39 @@
 	case record.Generation < n.self.Generation:
 		n.queueBroadcast(n.self.Name)
 	case record.Incarnation > n.self.Incarnation || record.Incarnation == n.self.Incarnation && record.State != Alive:
-		if record.Incarnation+1 >= maxIncarnation {
-			return
-		}
-		n.toggleSelfDigest()
-		n.self.Incarnation = record.Incarnation + 1
-		n.toggleSelfDigest()
-		if record.State >= Dead { // the others may have divided this member's share among themselves
-			n.resetRecognition()
-		}
-		if record.State != Alive {
-			n.SelfRefutations++
-			if !n.PlainSWIM {
-				n.adjustAwareness(1)
-			}
+		n.refute(record)
+	}
+}
+
+// refute overrides a record of this node by one with a higher incarnation.
+func (n *Node) refute(record *Record) {
+	if record.Incarnation+1 >= maxIncarnation {
+		return
+	}
+	n.toggleSelfDigest()
+	n.self.Incarnation = record.Incarnation + 1
+	n.toggleSelfDigest()
+	if record.State >= Dead { // the others may have divided this member's share among themselves
+		n.resetRecognition()
+	}
+	if record.State != Alive {
+		n.SelfRefutations++
+		if !n.PlainSWIM {
+			n.adjustAwareness(1)
 		}
-		n.queueBroadcast(n.self.Name)
 	}
+	n.queueBroadcast(n.self.Name)
 }
 
 // removeExpired removes members that have been dead, or have left, for longer than DeadTTL.
 func (n *Node) removeExpired() {
 	n.members = slices.DeleteFunc(n.members, func(peer *member) bool {
-		old := peer.State >= Dead && n.now-peer.deadSince > n.DeadTTL
-		if old {
+		expired := peer.State >= Dead && n.now-peer.deadSince > n.DeadTTL
+		if expired {
 			n.countMember(peer, -1)
 			delete(n.byName, peer.Name)
 		}
-		return old
+		return expired
 	})
 }
 
@@ -211,7 +216,9 @@
 
 // searchMember returns the position of a name in members, and whether it is there.
 func (n *Node) searchMember(name string) (int, bool) {
-	return slices.BinarySearchFunc(n.members, name, func(peer *member, name string) int { return strings.Compare(peer.Name, name) })
+	return slices.BinarySearchFunc(n.members, name, func(peer *member, name string) int {
+		return strings.Compare(peer.Name, name)
+	})
 }
 
 // randomMembers draws at most count alive members other than except.
@@ -222,7 +229,8 @@
 	for range 3 * count { // a draw may hit a member that is not alive or was drawn before
 		peer := n.members[n.rng.IntN(len(n.members))]
 		if peer.State == Alive && peer.Name != except && !slices.Contains(picked, peer) {
-			if picked = append(picked, peer); len(picked) == count {
+			picked = append(picked, peer)
+			if len(picked) == count {
 				break
 			}
 		}
--- a/internal/shared/membership/suspicion.go
+++ b/internal/shared/membership/suspicion.go
@@ -14,16 +14,16 @@
 	return record
 }
 
-// suspicionTimeout returns the duration of a suspicion with the given number of confirmations (Lifeguard, section
-// IV.B).
+// suspicionTimeout returns the duration of a suspicion with the given number of confirmations, in seconds (Lifeguard,
+// section IV.B): the longest without any, the least once there are as many as can be expected.
 func (n *Node) suspicionTimeout(confirmed int) float64 {
 	least := suspicionMultiplier * logScale(len(n.members)) * n.ProbeInterval
-	wanted := min(suspicionConfirmations, len(n.members)-2) // a confirmation takes a third member
-	if n.PlainSWIM || wanted < 1 {
+	expected := min(suspicionConfirmations, len(n.members)-2) // a confirmation takes a third member
+	if n.PlainSWIM || expected < 1 {
 		return least
 	}
 	longest := suspicionMaxMultiplier * least
-	return math.Max(least, longest-(longest-least)*math.Log(float64(confirmed+1))/math.Log(float64(wanted+1)))
+	return math.Max(least, longest-(longest-least)*math.Log(float64(confirmed+1))/math.Log(float64(expected+1)))
 }
 
 // MaxSuspicionTimeout returns the longest duration of a suspicion in seconds, in a cluster of the given size with the given
@@ -32,9 +32,10 @@
 	return suspicionMaxMultiplier * suspicionMultiplier * logScale(members) * probeInterval
 }
 
-// confirmSuspicion records that one more member suspects peer, which shortens the timeout.
+// confirmSuspicion records that one more member suspects peer, which shortens the timeout. by is that member's name.
 func (n *Node) confirmSuspicion(peer *member, by string) {
-	if n.PlainSWIM || by == "" || slices.Contains(peer.suspectedBy, by) || len(peer.suspectedBy) > suspicionConfirmations {
+	confirmed := len(peer.suspectedBy) > suspicionConfirmations
+	if n.PlainSWIM || by == "" || confirmed || slices.Contains(peer.suspectedBy, by) {
 		return
 	}
 	peer.suspectedBy = append(peer.suspectedBy, by)
--- a/internal/shared/membership/sync.go
+++ b/internal/shared/membership/sync.go
@@ -32,11 +32,11 @@
 		return
 	}
 	n.nextMetadataSync = n.now + metadataSyncInterval*n.ProbeInterval*(0.5+n.rng.Float64())
-	pause := syncInterval
+	interval := syncInterval
 	if !n.recognized {
-		pause = 1
+		interval = joiningSyncInterval
 	}
-	n.nextSync = n.now + pause*n.ProbeInterval*(0.5+n.rng.Float64())
+	n.nextSync = n.now + interval*n.ProbeInterval*(0.5+n.rng.Float64())
 	n.Syncs++
 	n.send(peer.Addr, &Message{Kind: Digests, ShardDigests: n.shardDigests(), WantsDigests: true})
 }
@@ -96,7 +96,8 @@
 		count := 0
 		remaining := recordsBudget + payloadBudget // these messages carry no payload
 		for count < min(len(records), maxRecords) {
-			if remaining -= records[count].maxEncodedSize(); remaining < 0 && count > 0 {
+			remaining -= records[count].maxEncodedSize()
+			if remaining < 0 && count > 0 {
 				break
 			}
 			count++
--- a/internal/shared/slotmap/slotmap.go
+++ b/internal/shared/slotmap/slotmap.go
@@ -21,13 +21,15 @@
 func (m *Map[T]) Insert(value T) Handle {
 	var index uint32
 	if n := len(m.free); n > 0 {
-		index, m.free = m.free[n-1], m.free[:n-1]
+		index = m.free[n-1]
+		m.free = m.free[:n-1]
 	} else {
 		index = uint32(len(m.slots))
 		m.slots = append(m.slots, slot[T]{})
 	}
 	s := &m.slots[index]
-	s.generation, s.value = s.generation+1, value
+	s.generation++
+	s.value = value
 	m.count++
 	return Handle(uint64(s.generation)<<32 | uint64(index))
 }
@@ -55,7 +57,8 @@
 		return false
 	}
 	var zero T
-	s.generation, s.value = s.generation+1, zero
+	s.generation++
+	s.value = zero
 	m.free = append(m.free, uint32(handle))
 	m.count--
 	return true
