--- a/internal/shared/membership/export_test.go
+++ b/internal/shared/membership/export_test.go
@@ -4,13 +4,16 @@
 
 // CheckInvariants returns what is inconsistent in a node's state, empty if nothing is.
 func (n *Node) CheckInvariants() string {
-	alive, suspects, deads := 0, 0, 0
-	var view, names, facts uint64
+	var alive, suspects, dead int    // members by state
+	var view, names, metadata uint64 // digests
 	if n.self.State == Alive {
-		view, names, facts = n.self.Record.digest(n.self.key), n.self.key, n.self.digestWithMetadata(n.self.key)
+		view = n.self.Record.digest(n.self.key)
+		names = n.self.key
+		metadata = n.self.digestWithMetadata(n.self.key)
 	}
 	for i, peer := range n.members {
-		if n.byName[peer.Name] != peer || i > 0 && n.members[i-1].Name >= peer.Name || peer.Name == n.self.Name {
+		ordered := i == 0 || n.members[i-1].Name < peer.Name
+		if n.byName[peer.Name] != peer || !ordered || peer.Name == n.self.Name {
 			return "members are not in order, or not found by their names"
 		}
 		if err := peer.Record.validate(); err != nil {
@@ -22,10 +25,11 @@
 		case Suspect:
 			suspects++
 		case Dead:
-			deads++
+			dead++
 		}
 		if peer.State <= Dead {
-			view, facts = view^peer.Record.digest(peer.key), facts^peer.digestWithMetadata(peer.key)
+			view ^= peer.Record.digest(peer.key)
+			metadata ^= peer.digestWithMetadata(peer.key)
 		}
 		if peer.State < Dead {
 			names ^= peer.key
@@ -34,11 +38,11 @@
 	switch {
 	case len(n.byName) != len(n.members):
 		return "names and members differ"
-	case alive != n.alive || suspects != n.suspects || deads != n.dead:
+	case alive != n.alive || suspects != n.suspects || dead != n.dead:
 		return "members by state are counted wrong"
 	case len(n.suspicions) != suspects:
 		return fmt.Sprintf("%d are suspect, %d suspicions run", suspects, len(n.suspicions))
-	case view != n.viewDigest || names != n.namesDigest || facts != n.metadataDigest:
+	case view != n.viewDigest || names != n.namesDigest || metadata != n.metadataDigest:
 		return "digests are not those of the view"
 	case !n.left && n.self.State != Alive:
 		return "it takes others' word on itself"
--- a/internal/shared/membership/metadata_test.go
+++ b/internal/shared/membership/metadata_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-func metadataMessage(facts Metadata) *Message {
-	record := Record{Name: "edge-1", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Generation: 1, Metadata: &facts}
+func metadataMessage(metadata Metadata) *Message {
+	record := Record{Name: "edge-1", Addr: netip.MustParseAddrPort("10.0.0.1:7661"), Generation: 1, Metadata: &metadata}
 	from := record
 	from.Metadata = nil
 	return &Message{Kind: Update, Cluster: "fleet", From: from, Number: 1, Records: []Record{record}}
 }
 
 func TestMetadataEncodeDecode(t *testing.T) {
-	facts := Metadata{Seq: 2, Zone: "a1", Serving: "serving", Role: "edge", Front: "10.0.0.1:8144"}
-	datagram, err := Encode(metadataMessage(facts))
+	metadata := Metadata{Seq: 2, Zone: "a1", Serving: "serving", Role: "edge", Front: "10.0.0.1:8144"}
+	datagram, err := Encode(metadataMessage(metadata))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,22 +23,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := *message.Records[0].Metadata; got != facts {
-		t.Errorf("facts are %+v, want %+v", got, facts)
+	if got := *message.Records[0].Metadata; got != metadata {
+		t.Errorf("metadata is %+v, want %+v", got, metadata)
 	}
 }
 
 func TestMetadataIsBounded(t *testing.T) {
-	for _, facts := range []Metadata{
+	for _, metadata := range []Metadata{
 		{Role: strings.Repeat("x", maxRoleLength+1)},
 		{Front: strings.Repeat("x", maxFrontLength+1)},
 	} {
-		datagram, err := Encode(metadataMessage(facts))
+		datagram, err := Encode(metadataMessage(metadata))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Decode("fleet", datagram); err == nil {
-			t.Errorf("%+v is accepted", facts)
+			t.Errorf("%+v is accepted", metadata)
 		}
 	}
 	longest := Metadata{
@@ -109,13 +109,13 @@
 	before := node.MetadataDigest()
 	node.SetMetadata(11, Metadata{Serving: "stopping"})
 	if node.MetadataDigest() == before {
-		t.Error("other facts have the same digest")
+		t.Error("other metadata has the same digest")
 	}
 	node.Announce(11, func(r *Record) bool { return r.Metadata != nil && r.Metadata.Role == "control" })
 	notified := map[netip.Addr]bool{}
 	for _, packet := range node.TakePackets() {
 		for i := range packet.Message.Records {
-			if facts := packet.Message.Records[i].Metadata; facts != nil && facts.Serving == "stopping" {
+			if metadata := packet.Message.Records[i].Metadata; metadata != nil && metadata.Serving == "stopping" {
 				notified[packet.To.Addr()] = true
 			}
 		}
--- a/internal/shared/membership/node_test.go
+++ b/internal/shared/membership/node_test.go
@@ -29,12 +29,12 @@
 	r := membership.Record{
 		Name:        rapid.SampledFrom(testNames).Draw(t, label+" name"),
 		Addr:        rapid.SampledFrom(testAddrs).Draw(t, label+" addr"),
-		Generation:  rapid.Uint64Range(1, 5).Draw(t, label+" life"),
-		Incarnation: rapid.SampledFrom([]uint64{0, 1, 2, 3, 1<<48 - 1}).Draw(t, label+" inc"),
+		Generation:  rapid.Uint64Range(1, 5).Draw(t, label+" generation"),
+		Incarnation: rapid.SampledFrom([]uint64{0, 1, 2, 3, 1<<48 - 1}).Draw(t, label+" incarnation"),
 		State:       membership.State(rapid.IntRange(0, 3).Draw(t, label+" state")),
 		SuspectedBy: rapid.SampledFrom(testNames).Draw(t, label+" by"),
 	}
-	if rapid.Bool().Draw(t, label+" facts") {
+	if rapid.Bool().Draw(t, label+" metadata") {
 		r.Metadata = &membership.Metadata{Seq: rapid.Uint64Range(0, 4).Draw(t, label+" seq"), Zone: "z"}
 	}
 	return r
@@ -194,7 +194,7 @@
 		t.Error(err, d)
 	}
 	if _, err := membership.Decode("g", b); !errors.Is(err, membership.ErrOtherCluster) {
-		t.Errorf("another fleet's: %v", err)
+		t.Errorf("another cluster's: %v", err)
 	}
 	for i := range b {
 		bad := bytes.Clone(b)
@@ -253,21 +253,21 @@
 	if node.Withdrawn() {
 		t.Error("it withdrew before a datagram that anybody could have sent")
 	}
-	asked := uint64(0)
+	pingSeq := uint64(0)
 	for _, p := range node.TakePackets() {
 		if p.Message.Kind == membership.Ping && p.To == testAddrs[1] {
-			asked = p.Message.Seq
+			pingSeq = p.Message.Seq
 		}
 	}
 	node.HandleMessage(1.1, &membership.Message{
 		Kind:    membership.Ack,
 		Cluster: "f",
 		Number:  2,
-		Seq:     asked,
+		Seq:     pingSeq,
 		Subject: &claimant,
 		From:    claimant,
 	})
-	if asked == 0 || !node.Withdrawn() {
+	if pingSeq == 0 || !node.Withdrawn() {
 		t.Error("it does not withdraw before one that answers")
 	}
 	node = start()
@@ -275,7 +275,7 @@
 		node.Tick(now)
 	}
 	if node.Withdrawn() || node.Generation != 10 {
-		t.Errorf("nobody answers: life %d", node.Generation)
+		t.Errorf("nobody answers: generation %d", node.Generation)
 	}
 }
 
@@ -306,7 +306,7 @@
 		}
 	}
 	if sent > 256 {
-		t.Errorf("%d questions in another's place", sent)
+		t.Errorf("%d pings on behalf of others", sent)
 	}
 }
 
@@ -314,9 +314,9 @@
 // that messages out of order by a little are not.
 func TestDuplicatesAndReplays(t *testing.T) {
 	node := newNode()
-	receive := func(life, n uint64) {
-		from := membership.Record{Name: "a", Addr: testAddrs[1], Generation: life}
-		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: n, From: from})
+	receive := func(generation, number uint64) {
+		from := membership.Record{Name: "a", Addr: testAddrs[1], Generation: generation}
+		node.HandleMessage(1, &membership.Message{Kind: membership.Update, Cluster: "f", Number: number, From: from})
 	}
 	for _, n := range []uint64{1, 2, 5, 3, 4, 100} {
 		receive(7, n)
@@ -330,10 +330,12 @@
 	if node.Duplicates != 4 {
 		t.Errorf("%d of 4 repeats dropped", node.Duplicates)
 	}
-	if receive(6, 101); node.Stale != 1 {
-		t.Errorf("%d of 1 of an earlier life dropped", node.Stale)
+	receive(6, 101)
+	if node.Stale != 1 {
+		t.Errorf("%d of 1 of an earlier generation dropped", node.Stale)
 	}
-	if receive(8, 1); node.Duplicates != 4 || node.Stale != 1 {
+	receive(8, 1)
+	if node.Duplicates != 4 || node.Stale != 1 {
 		t.Error("the first message of the next generation is dropped")
 	}
 }
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -69,6 +69,16 @@
 	return net
 }
 
+// allRecognized reports whether all nodes hold the view for converged and are recognized.
+func allRecognized(net *virtualcluster.Network) bool {
+	for _, node := range net.Nodes {
+		if view := node.Membership.View(); !view.Converged || !view.Recognized {
+			return false
+		}
+	}
+	return true
+}
+
 // TestJoin checks that members that start together find each other through one seed, at any size.
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 3, 10, 60, 300} {
@@ -77,14 +87,7 @@
 				net := newLossyNet(seed, n)
 				net.StartAll(1)
 				t.Logf("converged after %.1f probe intervals", waitConverged(t, net, n, 60))
-				if _, ok := net.RunUntil(60, 0.5, func() bool {
-					for _, node := range net.Nodes {
-						if v := node.Membership.View(); !v.Converged || !v.Recognized {
-							return false
-						}
-					}
-					return true
-				}); !ok {
+				if _, ok := net.RunUntil(60, 0.5, func() bool { return allRecognized(net) }); !ok {
 					t.Error("a member has not converged or is not recognized")
 				}
 				if d := deaths(net, ""); d > 0 {
@@ -131,7 +134,7 @@
 			runSeeds(t, 5, func(t *testing.T, seed uint64) {
 				net := newConvergedNet(t, seed, 9)
 				sleeper := net.Nodes[4]
-				life := sleeper.Membership.Generation
+				generation := sleeper.Membership.Generation
 				net.Pause(sleeper)
 				net.Run(net.Now + span)
 				net.Resume(sleeper)
@@ -140,7 +143,7 @@
 				net.Run(net.Now + 2)
 				net.Resume(sleeper)
 				waitConverged(t, net, 9, 60)
-				if sleeper.Membership.Generation != life {
+				if sleeper.Membership.Generation != generation {
 					t.Error("it came back as another")
 				}
 				for _, c := range sleeper.Changes {
@@ -175,7 +178,9 @@
 		net.StartAll(1)
 		waitConverged(t, net, 3, 40)
 		a, b := net.Nodes[0], net.Nodes[1]
-		net.Partitioned = func(from, to *virtualcluster.Node) bool { return from == a && to == b || from == b && to == a }
+		net.Partitioned = func(from, to *virtualcluster.Node) bool {
+			return from == a && to == b || from == b && to == a
+		}
 		net.Run(net.Now + 120)
 		if d := deaths(net, ""); d > 0 {
 			t.Errorf("%d times a member was declared dead that another reached", d)
@@ -233,7 +238,8 @@
 			return int(net.Now/3)%2 == 0 && (from == net.Nodes[2]) != (to == net.Nodes[2])
 		}
 		net.Run(net.Now + 120)
-		net.Partitioned, net.LossRate = nil, 0
+		net.Partitioned = nil
+		net.LossRate = 0
 		waitConverged(t, net, 12, 60)
 	})
 }
@@ -336,8 +342,8 @@
 		net.Start(n, net.Nodes[0])
 		if _, ok := net.RunUntil(60, 0.5, func() bool {
 			alive, suspect, dead := net.Nodes[0].Membership.CountByState()
-			one, _ := net.Converged()
-			return one && alive == 6 && suspect == 0 && dead == 1
+			converged, _ := net.Converged()
+			return converged && alive == 6 && suspect == 0 && dead == 1
 		}); !ok {
 			t.Error("the old name lives on")
 		}
@@ -383,7 +389,8 @@
 			case 7:
 				cuts[[2]*virtualcluster.Node{a, b}] = !cuts[[2]*virtualcluster.Node{a, b}]
 			case 8:
-				if island = nil; rng.IntN(2) == 0 {
+				island = nil
+				if rng.IntN(2) == 0 {
 					island = map[*virtualcluster.Node]bool{a: true, b: true}
 				}
 			case 9:
@@ -394,7 +401,8 @@
 			net.Run(net.Now + 8*rng.Float64())
 		}
 		clear(cuts)
-		island, net.LossRate = nil, 0
+		island = nil
+		net.LossRate = 0
 		for _, node := range net.Nodes {
 			node.ProcessingDelay = 0
 			if node.Membership != nil && node.Paused {
@@ -415,8 +423,12 @@
 	for _, n := range []int{10, 100, 300} {
 		net := virtualcluster.New(virtualcluster.Options{Seed: 3, Delay: 0.002, Jitter: 0.01, EncodeEvery: 1}, n)
 		net.StartAll(1)
-		if _, ok := net.RunUntil(100, 0.5, func() bool { one, alive := net.Converged(); return one && alive == n }); !ok {
-			t.Fatal("no fleet")
+		formed := func() bool {
+			converged, alive := net.Converged()
+			return converged && alive == n
+		}
+		if _, ok := net.RunUntil(100, 0.5, formed); !ok {
+			t.Fatal("no cluster has formed")
 		}
 		net.Run(net.Now + 10)
 		sum := func() (bytes float64) {
--- a/internal/testkit/engine/engine_test.go
+++ b/internal/testkit/engine/engine_test.go
@@ -9,8 +9,16 @@
 
 // smallOptions is an engine whose times are easy to reckon: a step of 10 ms, and 10 prompt tokens a millisecond.
 func smallOptions() Options {
-	return Options{MaxRunning: 2, MaxQueued: 2, MemoryTokens: 1000, BlockTokens: 10, StepTime: 10 * time.Millisecond,
-		PrefillTokensPerMS: 10, PrefillTokensPerStep: 100, EventTokens: 2}
+	return Options{
+		MaxRunning:           2,
+		MaxQueued:            2,
+		MemoryTokens:         1000,
+		BlockTokens:          10,
+		StepTime:             10 * time.Millisecond,
+		PrefillTokensPerMS:   10,
+		PrefillTokensPerStep: 100,
+		EventTokens:          2,
+	}
 }
 
 func newEngine(t *testing.T, o Options) *Engine {
@@ -34,8 +42,8 @@
 // runToEnd advances a server until nothing more is due.
 func runToEnd(m Server) (events []Event) {
 	for {
-		at, is := m.Next()
-		if !is {
+		at, ok := m.Next()
+		if !ok {
 			return events
 		}
 		events = append(events, m.Advance(at)...)
--- a/internal/testkit/engine/memory.go
+++ b/internal/testkit/engine/memory.go
@@ -30,7 +30,8 @@
 
 func newMemory(size, block int) *memory {
 	m := &memory{size: size, blockTokens: block, models: make(map[string]*cacheNode)}
-	m.evictable.prev, m.evictable.next = &m.evictable, &m.evictable
+	m.evictable.prev = &m.evictable
+	m.evictable.next = &m.evictable
 	return m
 }
 
@@ -99,13 +100,17 @@
 }
 
 func (n *cacheNode) removeFromRing() {
-	n.prev.next, n.next.prev = n.next, n.prev
-	n.prev, n.next = nil, nil
+	n.prev.next = n.next
+	n.next.prev = n.prev
+	n.prev = nil
+	n.next = nil
 }
 
 func (n *cacheNode) addToRing(head *cacheNode) {
-	n.prev, n.next = head.prev, head
-	head.prev.next, head.prev = n, n
+	n.prev = head.prev
+	n.next = head
+	head.prev.next = n
+	head.prev = n
 }
 
 // reserve gives a task memory of its own and evicts unused chunks for it; false if there isn't enough.
@@ -135,19 +140,17 @@
 	room := m.roundUp(part.Tokens)
 	t.memory.ownTokens -= room
 	m.pinned -= room
-	n := parent.children[part]
-	if n == nil {
-		n = &cacheNode{chunk: part, tokens: room, parent: parent}
-		if parent.children == nil {
-			parent.children = make(map[Chunk]*cacheNode)
-		}
-		parent.children[part] = n
-		n.users = 1
-		m.pinned += room
-		t.memory.cachedPrefix = n
+	if published := parent.children[part]; published != nil {
+		m.attach(t, published)
 		return
 	}
-	m.attach(t, n)
+	if parent.children == nil {
+		parent.children = make(map[Chunk]*cacheNode)
+	}
+	node := &cacheNode{chunk: part, tokens: room, parent: parent, users: 1}
+	parent.children[part] = node
+	m.pinned += room
+	t.memory.cachedPrefix = node
 }
 
 // attach extends a task's cached prefix by one chunk.
--- a/internal/testkit/receivers/carbon.go
+++ b/internal/testkit/receivers/carbon.go
@@ -9,6 +9,9 @@
 	"strings"
 )
 
+// maxPickleBytes is carbon's own limit.
+const maxPickleBytes = 1 << 20
+
 // Carbon is a fake carbon daemon with either the line or the pickle receiver
 // (https://graphite.readthedocs.io/en/latest/feeding-carbon.html).
 type Carbon struct {
@@ -40,21 +43,27 @@
 		if err != nil {
 			return
 		}
-		f := strings.Fields(line)
-		if len(f) != 3 {
-			c.addMalformed("line %q", line)
-			continue
-		}
-		v, err1 := strconv.ParseFloat(f[1], 64)
-		at, err2 := strconv.ParseFloat(f[2], 64)
-		if err1 != nil || err2 != nil {
+		point, ok := parseCarbonLine(line)
+		if !ok {
 			c.addMalformed("line %q", line)
 			continue
 		}
-		c.addPoint(Point{f[0], at, v})
+		c.addPoint(point)
+	}
+}
+
+// parseCarbonLine parses a line PATH VALUE TIME.
+func parseCarbonLine(line string) (point Point, ok bool) {
+	fields := strings.Fields(line)
+	if len(fields) != 3 {
+		return Point{}, false
 	}
+	value, valueErr := strconv.ParseFloat(fields[1], 64)
+	at, timeErr := strconv.ParseFloat(fields[2], 64)
+	return Point{Series: fields[0], Time: at, Value: value}, valueErr == nil && timeErr == nil
 }
 
+// readPickles reads pickles, each behind its length in four bytes.
 func (c *Carbon) readPickles(in *bufio.Reader) {
 	for {
 		var head [4]byte
@@ -62,7 +71,7 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > 1<<20 { // carbon's own limit
+		if n > maxPickleBytes {
 			c.addMalformed("pickle of %d bytes", n)
 			return
 		}
--- a/internal/testkit/receivers/collectd.go
+++ b/internal/testkit/receivers/collectd.go
@@ -15,8 +15,6 @@
 	"sync"
 )
 
-func floatFromBits(bits uint64) float64 { return math.Float64frombits(bits) }
-
 // Part types of the binary protocol (https://github.com/collectd/collectd/wiki/Binary-protocol).
 const (
 	partHost           = 0x0000
@@ -42,7 +40,7 @@
 	mutex   sync.Mutex
 	socket  *net.UDPConn
 	address string
-	largest int
+	largest int // bytes of the largest packet
 	packets int
 }
 
@@ -126,6 +124,13 @@
 	protectionEncrypted
 )
 
+// protections by their names in the configuration of collectd.
+var protections = map[string]int{
+	"none":    protectionNone,
+	"sign":    protectionSigned,
+	"encrypt": protectionEncrypted,
+}
+
 // Sizes in the protocol, in bytes.
 const (
 	partHeaderSize = 4 // type and length, two bytes each
@@ -136,8 +141,7 @@
 // DecodePacket reads a packet that must have at least a protection: none, sign or encrypt. Parts with less protection are
 // rejected. The points before the first fault are returned with the error.
 func DecodePacket(b []byte, security string, passwords map[string]string) ([]Point, error) {
-	required := map[string]int{"none": protectionNone, "sign": protectionSigned, "encrypt": protectionEncrypted}[security]
-	d := packetDecoder{required: required, passwords: passwords}
+	d := packetDecoder{required: protections[security], passwords: passwords}
 	err := d.decode(b, protectionNone)
 	return d.points, err
 }
@@ -162,7 +166,8 @@
 		if len(b) < partHeaderSize {
 			return errShort
 		}
-		part, size := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
+		part := binary.BigEndian.Uint16(b)
+		size := int(binary.BigEndian.Uint16(b[2:]))
 		if size < partHeaderSize || size > len(b) {
 			return errShort
 		}
@@ -199,8 +204,7 @@
 		if !ok {
 			return errShort
 		}
-		*map[uint16]*string{partHost: &v.host, partPlugin: &v.plugin, partPluginInstance: &v.pluginInstance,
-			partType: &v.typeName, partTypeInstance: &v.typeInstance}[part] = string(text)
+		*v.field(part) = string(text)
 	case partTime, partTimeHR, partInterval, partIntervalHR:
 		if len(body) != numberSize {
 			return errShort
@@ -216,6 +220,23 @@
 	return nil
 }
 
+// field returns the string that a part sets; nil for a part of another kind.
+func (v *valueIdentity) field(part uint16) *string {
+	switch part {
+	case partHost:
+		return &v.host
+	case partPlugin:
+		return &v.plugin
+	case partPluginInstance:
+		return &v.pluginInstance
+	case partType:
+		return &v.typeName
+	case partTypeInstance:
+		return &v.typeInstance
+	}
+	return nil
+}
+
 // addValues adds a part's values as points.
 func (d *packetDecoder) addValues(identity *valueIdentity, body []byte) error {
 	values, err := decodeValues(body)
@@ -237,7 +258,8 @@
 	if len(body) < sha256.Size {
 		return errShort
 	}
-	sum, user := body[:sha256.Size], body[sha256.Size:]
+	sum := body[:sha256.Size]
+	user := body[sha256.Size:]
 	password, known := d.passwords[string(user)]
 	mac := hmac.New(sha256.New, []byte(password))
 	mac.Write(user)
@@ -250,17 +272,21 @@
 
 // decodeEncrypted decrypts a part, checks the checksum inside, and reads the parts behind that.
 func (d *packetDecoder) decodeEncrypted(body []byte) error {
-	if len(body) < 2 || len(body) < 2+int(binary.BigEndian.Uint16(body))+aes.BlockSize+sha1.Size {
+	if len(body) < 2 {
 		return errShort
 	}
 	userEnd := 2 + int(binary.BigEndian.Uint16(body))
+	if len(body) < userEnd+aes.BlockSize+sha1.Size {
+		return errShort
+	}
 	password, known := d.passwords[string(body[2:userEnd])]
 	key := sha256.Sum256([]byte(password))
 	block, err := aes.NewCipher(key[:])
 	if err != nil {
 		return err
 	}
-	iv, secret := body[userEnd:userEnd+aes.BlockSize], body[userEnd+aes.BlockSize:]
+	iv := body[userEnd : userEnd+aes.BlockSize]
+	secret := body[userEnd+aes.BlockSize:]
 	plain := make([]byte, len(secret))
 	cipher.NewOFB(block, iv).XORKeyStream(plain, secret)
 	if sum := sha1.Sum(plain[sha1.Size:]); !known || !bytes.Equal(sum[:], plain[:sha1.Size]) {
@@ -286,14 +312,15 @@
 	if len(body) != 2+valueSize*count {
 		return nil, errShort
 	}
-	kinds, numbers := body[2:2+count], body[2+count:]
+	kinds := body[2 : 2+count]
+	numbers := body[2+count:]
 	for i, kind := range kinds {
 		v := numbers[numberSize*i : numberSize*(i+1)]
 		switch kind {
 		case valueCounter, valueAbsolute:
 			values = append(values, float64(binary.BigEndian.Uint64(v)))
 		case valueGauge:
-			values = append(values, floatFromBits(binary.LittleEndian.Uint64(v)))
+			values = append(values, math.Float64frombits(binary.LittleEndian.Uint64(v)))
 		case valueDerive:
 			values = append(values, float64(int64(binary.BigEndian.Uint64(v))))
 		default:
--- a/internal/testkit/receivers/pickle.go
+++ b/internal/testkit/receivers/pickle.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"math"
 	"strconv"
 	"strings"
 )
@@ -40,6 +41,14 @@
 	errPickleNoMark = errors.New("no mark")
 )
 
+// numberSizes are the sizes in bytes of the numbers behind the opcodes.
+var numberSizes = map[byte]int{
+	opBinInt1:  1,
+	opBinInt2:  2,
+	opBinInt:   4,
+	opBinFloat: 8,
+}
+
 // pickleMark is what opMark pushes.
 type pickleMark struct{}
 
@@ -101,7 +110,8 @@
 func (u *unpickler) stepCollection(op byte) error {
 	switch op {
 	case opTuple2:
-		second, first := u.pop(), u.pop()
+		second := u.pop()
+		first := u.pop()
 		u.push([]any{first, second})
 		return nil
 	case opAppend:
@@ -131,8 +141,7 @@
 	case opInt, opLong, opFloat:
 		return u.pushText()
 	}
-	size := map[byte]int{opBinInt1: 1, opBinInt2: 2, opBinInt: 4, opBinFloat: 8}[op]
-	b := u.take(size)
+	b := u.take(numberSizes[op])
 	if b == nil {
 		return errPickleShort
 	}
@@ -144,7 +153,7 @@
 	case opBinInt:
 		u.push(float64(int32(binary.LittleEndian.Uint32(b))))
 	case opBinFloat:
-		u.push(floatFromBits(binary.BigEndian.Uint64(b)))
+		u.push(math.Float64frombits(binary.BigEndian.Uint64(b)))
 	}
 	return nil
 }
@@ -202,12 +211,14 @@
 
 func (u *unpickler) push(v any) { u.stack = append(u.stack, v) }
 
-// pop returns nil if the stack is empty.
-func (u *unpickler) pop() (v any) {
-	if len(u.stack) > 0 {
-		v, u.stack = u.stack[len(u.stack)-1], u.stack[:len(u.stack)-1]
+// pop returns and removes what is on top of the stack; nil if it is empty.
+func (u *unpickler) pop() any {
+	if len(u.stack) == 0 {
+		return nil
 	}
-	return v
+	top := u.stack[len(u.stack)-1]
+	u.stack = u.stack[:len(u.stack)-1]
+	return top
 }
 
 // popToMark pops everything above the last mark, and the mark itself.
--- a/internal/testkit/receivers/store.go
+++ b/internal/testkit/receivers/store.go
@@ -19,10 +19,10 @@
 // Store collects what a receiver got. Its methods may be called from any goroutine.
 type Store struct {
 	mutex      sync.Mutex
-	points     []Point
-	series     map[string]map[float64]float64
-	duplicates int // points received again with the same value
-	conflicts  int // points received again with another value
+	points     []Point                        // in order of arrival
+	series     map[string]map[float64]float64 // by name: values by time
+	duplicates int                            // points received again with the same value
+	conflicts  int                            // points received again with another value
 	malformed  []string
 }
 
@@ -32,17 +32,17 @@
 	if s.series == nil {
 		s.series = map[string]map[float64]float64{}
 	}
-	at := s.series[point.Series]
-	if at == nil {
-		at = map[float64]float64{}
-		s.series[point.Series] = at
+	values := s.series[point.Series]
+	if values == nil {
+		values = map[float64]float64{}
+		s.series[point.Series] = values
 	}
-	if was, there := at[point.Time]; there && was == point.Value {
+	if earlier, received := values[point.Time]; received && earlier == point.Value {
 		s.duplicates++
-	} else if there {
+	} else if received {
 		s.conflicts++
 	}
-	at[point.Time] = point.Value
+	values[point.Time] = point.Value
 	s.points = append(s.points, point)
 }
 
@@ -56,28 +56,34 @@
 func (s *Store) Reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.points, s.series, s.duplicates, s.conflicts, s.malformed = nil, nil, 0, 0, nil
+	s.points = nil
+	s.series = nil
+	s.duplicates = 0
+	s.conflicts = 0
+	s.malformed = nil
 }
 
 // Last returns the newest value of a series.
-func (s *Store) Last(series string) (v float64, ok bool) {
+func (s *Store) Last(series string) (value float64, ok bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	newest := 0.0
-	for at, value := range s.series[series] {
+	for at, candidate := range s.series[series] {
 		if at >= newest {
-			newest, v, ok = at, value, true
+			newest = at
+			value = candidate
+			ok = true
 		}
 	}
-	return v, ok
+	return value, ok
 }
 
 // Sum adds the newest values of all matching series.
 func (s *Store) Sum(match func(series string) bool) (sum float64) {
 	for _, name := range s.Names() {
 		if match(name) {
-			v, _ := s.Last(name)
-			sum += v
+			value, _ := s.Last(name)
+			sum += value
 		}
 	}
 	return sum
@@ -107,7 +113,7 @@
 
 // Counts returns the number of points received, of those received again, and of those received again with another
 // value.
-func (s *Store) Counts() (points, again, moved int) {
+func (s *Store) Counts() (points, duplicates, conflicts int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.points), s.duplicates, s.conflicts
@@ -151,7 +157,8 @@
 		if p.value < last {
 			last = 0
 		}
-		sum, last = sum+p.value-last, p.value
+		sum = sum + p.value - last // in this order, for the same rounding
+		last = p.value
 	}
 	return sum
 }
--- a/internal/testkit/receivers/unixsock.go
+++ b/internal/testkit/receivers/unixsock.go
@@ -42,22 +42,24 @@
 	}
 }
 
+// parsePutval parses a line PUTVAL "HOST/PLUGIN/TYPE" interval=SECONDS TIME:VALUE.
 func parsePutval(line string) (Point, error) {
-	bad := fmt.Errorf("line %q", strings.TrimSpace(line))
-	rest, ok := strings.CutPrefix(strings.TrimSpace(line), `PUTVAL "`)
-	id, rest, ok2 := strings.Cut(rest, `" interval=`)
-	interval, value, ok3 := strings.Cut(rest, " ")
-	stamp, value, ok4 := strings.Cut(value, ":")
-	if !ok || !ok2 || !ok3 || !ok4 || strings.Count(id, "/") != 2 {
-		return Point{}, bad
+	line = strings.TrimSpace(line)
+	malformed := fmt.Errorf("line %q", line)
+	rest, isPutval := strings.CutPrefix(line, `PUTVAL "`)
+	id, rest, hasInterval := strings.Cut(rest, `" interval=`)
+	interval, rest, hasValues := strings.Cut(rest, " ")
+	stamp, number, hasTime := strings.Cut(rest, ":")
+	if !isPutval || !hasInterval || !hasValues || !hasTime || strings.Count(id, "/") != 2 {
+		return Point{}, malformed
 	}
 	if _, err := strconv.ParseFloat(interval, 64); err != nil {
-		return Point{}, bad
+		return Point{}, malformed
 	}
-	at, err1 := strconv.ParseFloat(stamp, 64)
-	v, err2 := strconv.ParseFloat(value, 64)
-	if err1 != nil || err2 != nil {
-		return Point{}, bad
+	at, timeErr := strconv.ParseFloat(stamp, 64)
+	value, valueErr := strconv.ParseFloat(number, 64)
+	if timeErr != nil || valueErr != nil {
+		return Point{}, malformed
 	}
-	return Point{id, at, v}, nil
+	return Point{Series: id, Time: at, Value: value}, nil
 }
