--- a/internal/shared/membership/node.go
+++ b/internal/shared/membership/node.go
@@ -24,16 +24,21 @@
 
 // Stats count events since the node was created.
 type Stats struct {
-	Probes, FailedProbes    uint64 // probes started; those that ended without an ack
-	Suspicions, Refutations uint64 // of other members; those that were refuted
-	SelfRefutations         uint64 // suspicions of this node that it refuted
-	Deaths                  uint64
-	Duplicates, Stale       uint64 // messages dropped: received before; of an earlier generation
-	RejectedNames           uint64 // new members ignored because of maxMembers
-	OwnMessages             uint64 // messages of this node that came back to it
-	Syncs, Pages            uint64 // exchanges of digests; messages of records
-	NameClaims, Withdrawals uint64 // by other processes of this node's name; withdrawals because of them
-	Pauses                  uint64 // of the process
+	Probes          uint64 // probes started
+	FailedProbes    uint64 // probes that ended without an ack
+	Suspicions      uint64 // of other members
+	Refutations     uint64 // suspicions of other members that were refuted
+	SelfRefutations uint64 // suspicions of this node that it refuted
+	Deaths          uint64 // other members declared dead
+	Duplicates      uint64 // messages dropped because they were received before
+	Stale           uint64 // messages dropped because they were of an earlier generation
+	RejectedNames   uint64 // new members ignored because of maxMembers
+	OwnMessages     uint64 // messages of this node that came back to it
+	Syncs           uint64 // exchanges of digests that this node started
+	Pages           uint64 // messages of records sent
+	NameClaims      uint64 // claims of this node's name by other processes
+	Withdrawals     uint64 // withdrawals because of them
+	Pauses          uint64 // of the process
 }
 
 // Node is a member's state machine.
@@ -50,35 +55,41 @@
 	messagesSent uint64 // messages sent by this generation
 	probeSeq     uint64
 
-	now, nextTick float64
+	now           float64 // time of the last call
+	nextTick      float64 // see NextTick
 	joinedAt      float64
 	started       bool
-	left          bool // Leave was called
-	contacted     bool // a message of another member has come
-	recognized    bool // enough other members have this one in their view; see updateConvergence
-	withdrawn     bool // another process has the name; this node is passive
-	nameReclaimAt float64
+	left          bool    // Leave was called
+	contacted     bool    // a message of another member has come
+	recognized    bool    // enough other members have this one in their view; see updateConvergence
+	withdrawn     bool    // another process has the name; this node is passive
+	nameReclaimAt float64 // while withdrawn: time of the next check whether the name is free
 
-	viewDigest, namesDigest, metadataDigest uint64 // see View, Message
-	viewEpoch, namesEpoch                   uint64
-	viewAgreements, namesAgreements         int     // members that sent the same digest since the last change
-	lastUpdateAt                            float64 // time of the last broadcast queued, or of a message with other metadata
-	viewDifferedAt, namesDifferedAt         float64 // time of the last message with another digest
-	divergedAt                              float64 // time when converged became false
-	alive, suspects, dead                   int     // the other members by state
-	converged                               bool
+	alive, suspects, dead int // the other members by state
+
+	// Digests of the view, which all members must agree on; of the names of alive and suspect members; and of the view
+	// with the versions of all metadata.
+	viewDigest, namesDigest, metadataDigest uint64
+	// Each change of the view, or of the names, begins an epoch. The agreements are the members that have sent the same
+	// digest in the current one.
+	viewEpoch, namesEpoch           uint64
+	viewAgreements, namesAgreements int
+	viewDifferedAt, namesDifferedAt float64 // time of the last message with another digest
+	lastUpdateAt                    float64 // time of the last broadcast queued, or of a message with other metadata
+	converged                       bool
+	divergedAt                      float64 // time when converged became false
 
 	awareness        int      // local health multiplier less one: 0 is healthy
-	probeOrder       []string // names still to be probed in this round
+	probeOrder       []string // names still to be probed in this round, the next one last
 	probe            probe
 	indirectProbes   []indirectProbe
 	suspicions       []*member // members in state Suspect
 	broadcasts       []broadcast
-	nextSync         float64
-	nextMetadataSync float64
-	pagesSent        int // since pagesResetAt less one probe interval
-	pagesResetAt     float64
-	nextReconnect    float64
+	nextSync         float64 // time from which digests are exchanged again
+	nextMetadataSync float64 // the same if only metadata differs
+	pagesSent        int     // since pagesResetAt less one probe interval
+	pagesResetAt     float64 // time from which pages are counted anew
+	nextReconnect    float64 // time of the next pings of seeds and of a dead member
 	nameClaim        nameClaim
 	convergenceTimes []float64 // seconds that each convergence took; see TakeConvergenceTimes
 }
--- a/internal/shared/membership/receive.go
+++ b/internal/shared/membership/receive.go
@@ -11,57 +11,79 @@
 	if n.left || !n.started {
 		return
 	}
-	from := &msg.From
-	if from.Name == n.self.Name {
-		if from.Generation == n.self.Generation {
-			n.OwnMessages++
-			return
-		}
-		n.handleNameClaim(from, msg)
+	if msg.From.Name == n.self.Name {
+		n.handleOwnName(msg)
 		return
 	}
 	if n.withdrawn {
 		return
 	}
+	peer := n.acceptSender(now, msg)
+	if peer == nil {
+		return
+	}
+	newer := n.mergeRecords(now, peer, msg)
+	n.handleRequest(peer, msg)
+	if len(newer) > 0 {
+		n.sendRecords(msg.From.Addr, newer)
+	}
+	n.compareViews(peer, msg)
+	if n.Delegate != nil && len(msg.Payload) > 0 {
+		for _, reply := range n.Delegate.HandlePayload(n.now, peer.Name, msg.Payload) {
+			n.send(msg.From.Addr, &Message{Kind: Update, Payload: reply})
+		}
+	}
+}
+
+// handleOwnName handles a message of this node itself, or of another process with its name.
+func (n *Node) handleOwnName(msg *Message) {
+	if msg.From.Generation == n.self.Generation {
+		n.OwnMessages++
+		return
+	}
+	n.handleNameClaim(&msg.From, msg)
+}
+
+// acceptSender merges the record of a message's sender and returns the member. It returns nil if the message is to be
+// ignored: it was received before, is of an earlier generation, or its sender is not added to the view.
+func (n *Node) acceptSender(now float64, msg *Message) *member {
+	from := &msg.From
 	peer := n.byName[from.Name]
 	if peer != nil && from.Generation < peer.Generation {
 		n.Stale++
 		// lets the sender learn of the later generation
 		n.send(from.Addr, &Message{Kind: Update, Records: []Record{peer.outgoingRecord(now)}})
-		return
+		return nil
 	}
 	if peer != nil && !peer.replay.accept(from.Generation, msg.Number) {
 		n.Duplicates++
-		return
+		return nil
 	}
 	n.merge(*from, from.Name)
-	if peer = n.byName[from.Name]; peer == nil {
-		return
+	peer = n.byName[from.Name]
+	if peer == nil {
+		return nil
 	}
-	if peer.replay.generation != from.Generation {
+	if peer.replay.generation != from.Generation { // the merge has reset the window, or added the member
 		peer.replay.accept(from.Generation, msg.Number)
 	}
 	peer.lastContact = now
 	n.contacted = true
-	var stale []Record
+	return peer
+}
+
+// mergeRecords merges the records of a message, and returns those that this node has newer and that the sender should
+// learn of.
+func (n *Node) mergeRecords(now float64, peer *member, msg *Message) (newer []Record) {
 	for i := range msg.Records {
-		if known := n.merge(msg.Records[i], from.Name); known != nil && msg.Kind == Records {
-			stale = append(stale, *known)
+		if known := n.merge(msg.Records[i], msg.From.Name); known != nil && msg.Kind == Records {
+			newer = append(newer, *known)
 		}
 	}
-	if peer.State != Alive && from.State == Alive && from.compare(&peer.Record) < 0 {
-		stale = append(stale, peer.outgoingRecord(now)) // lets the sender refute its suspicion or death early
-	}
-	n.handleRequest(peer, msg)
-	if len(stale) > 0 {
-		n.sendRecords(from.Addr, stale)
-	}
-	n.compareViews(peer, msg)
-	if n.Delegate != nil && len(msg.Payload) > 0 {
-		for _, reply := range n.Delegate.HandlePayload(n.now, peer.Name, msg.Payload) {
-			n.send(from.Addr, &Message{Kind: Update, Payload: reply})
-		}
+	if peer.State != Alive && msg.From.State == Alive && msg.From.compare(&peer.Record) < 0 {
+		newer = append(newer, peer.outgoingRecord(now)) // lets the sender refute its suspicion or death early
 	}
+	return newer
 }
 
 // handleRequest handles what is specific to the kind of a message.
--- a/internal/shared/membership/state.go
+++ b/internal/shared/membership/state.go
@@ -10,14 +10,14 @@
 // member is another member as this node knows it.
 type member struct {
 	Record
-	key               uint64  // Key of the name
-	stateSince        float64 // time when the state was entered, as far as this node knows
-	deadSince         float64 // time when the first member declared it dead; for removal alone
-	lastContact       float64
-	lastReconnect     float64 // time of the last ping of it while dead
-	suspectedBy       []string
-	suspectedAt       float64
-	suspicionDeadline float64 // time when the suspicion ends
+	key               uint64   // Key of the name
+	stateSince        float64  // time when the state was entered, as far as this node knows
+	deadSince         float64  // time when the first member declared it dead; for removal alone
+	lastContact       float64  // time of its last message
+	lastReconnect     float64  // time of the last ping of it while dead
+	suspectedBy       []string // while suspect: the members that suspect it, the first of them first
+	suspectedAt       float64  // time when the suspicion began
+	suspicionDeadline float64  // time when the suspicion ends
 	replay            replayWindow
 	agreedViewEpoch   uint64 // viewEpoch in which it last sent the same view digest
 	agreedNamesEpoch  uint64 // namesEpoch in which it last sent the same names digest
