--- a/internal/shared/membership/measurements_test.go
+++ b/internal/shared/membership/measurements_test.go
@@ -44,62 +44,66 @@
 		PlainSWIM:   plain,
 		EncodeEvery: 7,
 	}, n)
-	until := func(alive, dead int, limit float64) float64 {
-		took, ok := net.RunUntil(limit, 0.5, func() bool {
-			for _, node := range net.Nodes {
-				if node.Membership == nil {
-					continue
-				}
-				a, s, d := node.Membership.CountByState()
-				if node.Membership.NamesDigest() != net.Nodes[0].Membership.NamesDigest() || a+s != alive || d != dead {
-					return false
-				}
-			}
-			return true
-		})
-		if !ok {
-			return never
-		}
-		return took
-	}
 	net.StartAll(1)
-	r.join = until(n, 0, 120)
+	r.join = periodsUntil(net, n, 0, 120)
 	net.Run(net.Now + 20)
-	wrong := func() (n int) {
-		for _, node := range net.Nodes {
-			n += int(node.Membership.Deaths)
-		}
-		return n
-	}
-	before := wrong()
-	sent := 0
-	bytes := 0.0
-	for _, node := range net.Nodes {
-		sent -= node.Sent
-		bytes -= node.Bytes
-	}
+	before := sumTraffic(net)
 	from := net.Now
 	began := time.Now()
 	span := 40.0
 	net.Run(net.Now + span)
 	r.cpu = time.Since(began).Seconds() / span / float64(n)
-	for _, node := range net.Nodes {
-		sent += node.Sent
-		bytes += node.Bytes
-	}
-	r.messages = float64(sent) / span / float64(n)
-	r.bytes = bytes / span / float64(n)
-	r.wrong = wrong() - before
+	after := sumTraffic(net)
+	r.messages = float64(after.sent-before.sent) / span / float64(n)
+	r.bytes = (after.bytes - before.bytes) / span / float64(n)
+	r.wrong = after.deaths - before.deaths
 	r.hours = float64(n) * (net.Now - from) / 3600
 	for i, node := range net.Nodes {
 		if i%10 == 9 {
 			net.Kill(node)
 		}
 	}
-	r.found = until(n-n/10, n/10, 200)
+	r.found = periodsUntil(net, n-n/10, n/10, 200)
 	return r
 }
 
+// periodsUntil runs until all nodes hold the same names, with the given numbers of members that are alive or suspect, and
+// dead. It returns how long that took in probe intervals of a second, or never after limit.
+func periodsUntil(net *virtualcluster.Network, alive, dead int, limit float64) float64 {
+	took, ok := net.RunUntil(limit, 0.5, func() bool {
+		for _, node := range net.Nodes {
+			if node.Membership == nil {
+				continue
+			}
+			a, s, d := node.Membership.CountByState()
+			if node.Membership.NamesDigest() != net.Nodes[0].Membership.NamesDigest() || a+s != alive || d != dead {
+				return false
+			}
+		}
+		return true
+	})
+	if !ok {
+		return never
+	}
+	return took
+}
+
+// traffic is what all nodes have sent, and the members that they have declared dead.
+type traffic struct {
+	sent   int
+	bytes  float64
+	deaths int
+}
+
+func sumTraffic(net *virtualcluster.Network) (sum traffic) {
+	for _, node := range net.Nodes {
+		sum.sent += node.Sent
+		sum.bytes += node.Bytes
+		sum.deaths += int(node.Membership.Deaths)
+	}
+	return sum
+}
+
 // memory returns the bytes that a node takes for each other member.
 func memory(n int) float64 {
 	net := virtualcluster.New(virtualcluster.Options{Seed: 1}, n)
@@ -165,35 +169,18 @@
 	b.WriteString("members held dead that ran, for each member-hour.\n\n")
 	b.WriteString("| members | loss | | join | one in ten killed | wrong deaths | messages | bytes | processor, µs |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	shown := func(v float64) string {
-		if v >= never {
-			return "never"
-		}
-		return fmt.Sprintf("%.1f", v)
-	}
 	lines := map[string][]point{}
 	for _, n := range sizes {
 		for _, loss := range shares {
 			for _, plain := range []bool{true, false} {
-				all := row(n, loss, plain)
 				name := "as built"
 				if plain {
 					name = "plain SWIM"
 				}
-				join, joinWorst := pick(all, func(r *trial) float64 { return r.join })
-				found, foundWorst := pick(all, func(r *trial) float64 { return r.found })
-				var mean trial // of the rates; wrong and hours are sums
-				for _, r := range all {
-					mean.wrong += r.wrong
-					mean.hours += r.hours
-					mean.messages += r.messages / float64(len(all))
-					mean.bytes += r.bytes / float64(len(all))
-					mean.cpu += r.cpu / float64(len(all))
-				}
-				fmt.Fprintf(&b, "| %d | %.0f%% | %s ", n, 100*loss, name)
-				fmt.Fprintf(&b, "| %s, %s | %s, %s ", shown(join), shown(joinWorst), shown(found), shown(foundWorst))
-				fmt.Fprintf(&b, "| %.3f ", float64(mean.wrong)/mean.hours)
-				fmt.Fprintf(&b, "| %.1f | %.0f | %.0f |\n", mean.messages, mean.bytes, 1e6*mean.cpu)
+				all := row(n, loss, plain)
+				fmt.Fprintf(&b, "| %d | %.0f%% | %s %s", n, 100*loss, name, tableCells(all))
+				join, _ := pick(all, func(r *trial) float64 { return r.join })
+				found, _ := pick(all, func(r *trial) float64 { return r.found })
 				for what, v := range map[string]float64{"join": join, "found dead": found} {
 					if loss == 0.05 && v < never {
 						lines[name+", "+what] = append(lines[name+", "+what], point{float64(n), v})
@@ -215,6 +202,31 @@
 	}
 }
 
+// tableCells formats the results of a row.
+func tableCells(all []trial) string {
+	join, joinWorst := pick(all, func(r *trial) float64 { return r.join })
+	found, foundWorst := pick(all, func(r *trial) float64 { return r.found })
+	var mean trial // of the rates; wrong and hours are sums
+	for _, r := range all {
+		mean.wrong += r.wrong
+		mean.hours += r.hours
+		mean.messages += r.messages / float64(len(all))
+		mean.bytes += r.bytes / float64(len(all))
+		mean.cpu += r.cpu / float64(len(all))
+	}
+	periods := fmt.Sprintf("| %s, %s | %s, %s ",
+		formatPeriods(join), formatPeriods(joinWorst), formatPeriods(found), formatPeriods(foundWorst))
+	wrong := fmt.Sprintf("| %.3f ", float64(mean.wrong)/mean.hours)
+	return periods + wrong + fmt.Sprintf("| %.1f | %.0f | %.0f |\n", mean.messages, mean.bytes, 1e6*mean.cpu)
+}
+
+func formatPeriods(periods float64) string {
+	if periods >= never {
+		return "never"
+	}
+	return fmt.Sprintf("%.1f", periods)
+}
+
 func numbers[T any](t *testing.T, text string) (all []T) {
 	t.Helper()
 	for _, s := range strings.Split(text, ",") {
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -350,6 +350,81 @@
 	})
 }
 
+// randomFaults injects random faults into a network.
+type randomFaults struct {
+	net    *virtualcluster.Network
+	rng    *rand.Rand
+	cuts   map[link]bool                 // links that lose everything
+	island map[*virtualcluster.Node]bool // nodes that reach only each other
+}
+
+// link is the way from one node to another.
+type link struct{ from, to *virtualcluster.Node }
+
+func newRandomFaults(net *virtualcluster.Network, rng *rand.Rand) *randomFaults {
+	faults := &randomFaults{net: net, rng: rng, cuts: map[link]bool{}}
+	net.Partitioned = func(from, to *virtualcluster.Node) bool {
+		return faults.cuts[link{from, to}] || faults.island[from] != faults.island[to]
+	}
+	return faults
+}
+
+// start starts a process at a node that has none.
+func (f *randomFaults) start(node *virtualcluster.Node) {
+	if node.Membership == nil {
+		f.net.Start(node, f.net.Nodes[0], f.net.Nodes[len(f.net.Nodes)-1])
+	}
+}
+
+// resume continues the process of a node if it is paused.
+func (f *randomFaults) resume(node *virtualcluster.Node) {
+	if node.Membership != nil && node.Paused {
+		f.net.Resume(node)
+	}
+}
+
+// inject injects a fault, or ends one.
+func (f *randomFaults) inject() {
+	size := len(f.net.Nodes)
+	a := f.net.Nodes[f.rng.IntN(size)]
+	b := f.net.Nodes[f.rng.IntN(size)]
+	switch f.rng.IntN(11) {
+	case 0, 1:
+		f.net.Kill(a)
+	case 2, 3:
+		f.start(a)
+	case 4, 5:
+		if a.Membership != nil && !a.Paused {
+			f.net.Pause(a)
+		}
+	case 6:
+		f.resume(a)
+	case 7:
+		f.cuts[link{a, b}] = !f.cuts[link{a, b}]
+	case 8:
+		f.island = nil
+		if f.rng.IntN(2) == 0 {
+			f.island = map[*virtualcluster.Node]bool{a: true, b: true}
+		}
+	case 9:
+		f.net.LossRate = f.rng.Float64() * 0.4
+	case 10:
+		a.ProcessingDelay = f.rng.Float64() * 2
+	}
+}
+
+// endAll ends all faults; all nodes run afterwards.
+func (f *randomFaults) endAll() {
+	clear(f.cuts)
+	f.island = nil
+	f.net.LossRate = 0
+	for _, node := range f.net.Nodes {
+		node.ProcessingDelay = 0
+		f.resume(node)
+		f.start(node)
+	}
+}
+
 // TestRandomFaults plays random faults: processes killed, started, paused and resumed, one-way and full partitions,
 // loss, slow members, all at once and in any order. The invariants hold all the while, and after the last fault all
 // have one view within 80 probe intervals.
@@ -358,11 +433,7 @@
 		rng := rand.New(rand.NewPCG(seed, 99))
 		size := 3 + rng.IntN(22)
 		net := newLossyNet(seed, size)
-		cuts := map[[2]*virtualcluster.Node]bool{}
-		var island map[*virtualcluster.Node]bool
-		net.Partitioned = func(a, b *virtualcluster.Node) bool {
-			return cuts[[2]*virtualcluster.Node{a, b}] || island[a] != island[b]
-		}
+		faults := newRandomFaults(net, rng)
 		net.AfterEvent = func(node *virtualcluster.Node) {
 			if wrong := node.Membership.CheckInvariants(); wrong != "" {
 				t.Fatalf("at %.2f %s: %s", net.Now, node.Name, wrong)
@@ -370,48 +441,10 @@
 		}
 		net.StartAll(2)
 		for range 25 {
-			a, b := net.Nodes[rng.IntN(size)], net.Nodes[rng.IntN(size)]
-			switch rng.IntN(11) {
-			case 0, 1:
-				net.Kill(a)
-			case 2, 3:
-				if a.Membership == nil {
-					net.Start(a, net.Nodes[0], net.Nodes[size-1])
-				}
-			case 4, 5:
-				if a.Membership != nil && !a.Paused {
-					net.Pause(a)
-				}
-			case 6:
-				if a.Membership != nil && a.Paused {
-					net.Resume(a)
-				}
-			case 7:
-				cuts[[2]*virtualcluster.Node{a, b}] = !cuts[[2]*virtualcluster.Node{a, b}]
-			case 8:
-				island = nil
-				if rng.IntN(2) == 0 {
-					island = map[*virtualcluster.Node]bool{a: true, b: true}
-				}
-			case 9:
-				net.LossRate = rng.Float64() * 0.4
-			case 10:
-				a.ProcessingDelay = rng.Float64() * 2
-			}
+			faults.inject()
 			net.Run(net.Now + 8*rng.Float64())
 		}
-		clear(cuts)
-		island = nil
-		net.LossRate = 0
-		for _, node := range net.Nodes {
-			node.ProcessingDelay = 0
-			if node.Membership != nil && node.Paused {
-				net.Resume(node)
-			}
-			if node.Membership == nil {
-				net.Start(node, net.Nodes[0], net.Nodes[size-1])
-			}
-		}
+		faults.endAll()
 		t.Logf("%d members: converged after %.1f probe intervals", size, waitConverged(t, net, size, 80))
 	})
 }
--- a/internal/testkit/engine/engine_test.go
+++ b/internal/testkit/engine/engine_test.go
@@ -378,14 +378,14 @@
 func TestSlowStartArrivals(t *testing.T) {
 	c := SlowStart{Rate: 2, MaxMultiple: 1.5, Allowance: 1, CrashMultiple: 4}
 	c.Begin(10 * time.Second)
-	fell := 0
+	crashes := 0
 	for i := range 9 {
 		if c.RecordArrival(ms(i)) {
-			fell++
+			crashes++
 		}
 	}
-	if c.PeakArrivals() != 9 || c.Violations() != 5 || fell != 1 {
-		t.Errorf("worst %d, broken %d, fell %d; want 9, 5 and 1", c.PeakArrivals(), c.Violations(), fell)
+	if c.PeakArrivals() != 9 || c.Violations() != 5 || crashes != 1 {
+		t.Errorf("worst %d, broken %d, crashes %d; want 9, 5 and 1", c.PeakArrivals(), c.Violations(), crashes)
 	}
 	if c.RecordArrival(11 * time.Second); c.PeakArrivals() != 9 {
 		t.Error("counted while warm")
--- a/internal/testkit/mutate/mutations.go
+++ b/internal/testkit/mutate/mutations.go
@@ -9,10 +9,10 @@
 // duplicateDelay is how much later the second copy of a duplicated message arrives, in seconds.
 const duplicateDelay = 0.01
 
-// mutationSet collects the runs that spoil one message of the recorded run.
+// mutationSet collects the runs that change one message of the recorded run.
 type mutationSet struct {
 	messages []Message
-	index    int // of the message that is spoilt
+	index    int // of the message that is changed
 	runs     []mutatedRun
 }
 
@@ -27,7 +27,7 @@
 	}})
 }
 
-// mutations returns a run for each way to spoil the message at an index.
+// mutations returns a run for each mutation of the message at an index.
 func mutations(messages []Message, index int, options Options) []mutatedRun {
 	s := &mutationSet{messages: messages, index: index}
 	s.addTiming(options)
--- a/internal/testkit/processcluster/member.go
+++ b/internal/testkit/processcluster/member.go
@@ -86,9 +86,9 @@
 
 // senderName identifies the sender of a datagram, for the relays.
 func (c *Cluster) senderName(b []byte) string {
-	for _, fleet := range []string{c.ClusterName, "other"} {
-		if msg, err := membership.Decode(fleet, b); err == nil {
-			return msg.From.Name
+	for _, clusterName := range []string{c.ClusterName, "other"} { // tests call a second cluster "other"
+		if message, err := membership.Decode(clusterName, b); err == nil {
+			return message.From.Name
 		}
 	}
 	return ""
--- a/internal/testkit/receivers/relay_test.go
+++ b/internal/testkit/receivers/relay_test.go
@@ -133,46 +133,64 @@
 	})
 }
 
-// TestTCPRelay checks that a connection is forwarded, hangs behind a black hole and continues after it, and can be reset.
-func TestTCPRelay(t *testing.T) {
-	target, err := net.Listen("tcp", "127.0.0.1:0")
+// startEcho starts a server that sends back what it gets, and returns its address.
+func startEcho(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer target.Close()
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			caller, err := target.Accept()
+			caller, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(caller, caller); caller.Close() }()
+			go func() {
+				_, _ = io.Copy(caller, caller)
+				caller.Close()
+			}()
 		}
 	}()
-	log := &logLines{}
-	relay, err := NewTCPRelay("way", "127.0.0.1:0", target.Addr().String(), log.add)
+	return listener.Addr().String()
+}
+
+// dialRelay opens a connection through a relay.
+func dialRelay(t *testing.T, relay *TCPRelay) net.Conn {
+	t.Helper()
+	caller, err := net.Dial("tcp", relay.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer relay.Close()
-	caller, err := net.Dial("tcp", relay.Addr())
+	t.Cleanup(func() { caller.Close() })
+	caller.SetDeadline(time.Now().Add(20 * time.Second))
+	return caller
+}
+
+// echo sends a text and reads as many bytes.
+func echo(caller net.Conn, text string) (string, error) {
+	fmt.Fprint(caller, text)
+	buf := make([]byte, len(text))
+	_, err := io.ReadFull(caller, buf)
+	return string(buf), err
+}
+
+// TestTCPRelay checks that a connection is forwarded, hangs behind a black hole and continues after it, and can be reset.
+func TestTCPRelay(t *testing.T) {
+	log := &logLines{}
+	relay, err := NewTCPRelay("way", "127.0.0.1:0", startEcho(t), log.add)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer caller.Close()
-	echo := func(text string) (string, error) {
-		fmt.Fprint(caller, text)
-		buf := make([]byte, len(text))
-		_, err := io.ReadFull(caller, buf)
-		return string(buf), err
-	}
-	caller.SetDeadline(time.Now().Add(20 * time.Second))
-	if got, err := echo("one"); got != "one" || err != nil {
+	defer relay.Close()
+	caller := dialRelay(t, relay)
+	if got, err := echo(caller, "one"); got != "one" || err != nil {
 		t.Fatalf("%q %v", got, err)
 	}
 	relay.SetLink(Link{Blackhole: true})
 	caller.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if got, err := echo("two"); err == nil {
+	if got, err := echo(caller, "two"); err == nil {
 		t.Errorf("a black hole passed %q", got)
 	}
 	relay.SetLink(Link{})
@@ -185,12 +203,13 @@
 	if _, err := caller.Read(buf); err == nil || err == io.EOF {
 		t.Errorf("a reset connection reads %v", err)
 	}
-	n, err := net.Dial("tcp", relay.Addr())
-	if err == nil {
-		n.SetDeadline(time.Now().Add(20 * time.Second))
-		if _, err := n.Read(buf); err == nil {
-			t.Error("a new connection is served while connections are reset")
-		}
-		n.Close()
+	next, err := net.Dial("tcp", relay.Addr())
+	if err != nil {
+		return // reset at once
+	}
+	defer next.Close()
+	next.SetDeadline(time.Now().Add(20 * time.Second))
+	if _, err := next.Read(buf); err == nil {
+		t.Error("a new connection is served while connections are reset")
 	}
 }
