--- a/internal/system/agent/fallback/poller.go
+++ b/internal/system/agent/fallback/poller.go
@@ -103,6 +103,7 @@
 	return root * root
 }
 
+// jitter spreads an interval by jitterFraction to either side.
 func (p *Poller) jitter(interval time.Duration) time.Duration {
 	share := 1 + jitterFraction*(2*p.random()-1)
 	return time.Duration(float64(interval) * share)
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -52,6 +52,7 @@
 	}
 }
 
+// poll makes a call and reports its outcome to the selector.
 func (f *follower) poll(ctx context.Context, request upstream.Request) {
 	timeouts := rpc.ReceiveTimeouts{FirstByte: request.Timeout, Idle: replyReadTimeout, Total: maxReplyTime}
 	followRequest := &feed.FollowRequest{
@@ -100,6 +101,7 @@
 	return f.client
 }
 
+// disconnect closes the client of the replica polled last, if any.
 func (f *follower) disconnect() {
 	if f.client != nil {
 		f.client.Close()
--- a/internal/system/agent/platformpoller.go
+++ b/internal/system/agent/platformpoller.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// fetchList fetches the list once and applies it to the partitions from which the agent is cut off.
 func (p *platformPoller) fetchList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -120,6 +121,7 @@
 	p.store.applyList(runners, cutOff)
 }
 
+// handleFailure records a failed poll, with the delay that the platform asked for.
 func (p *platformPoller) handleFailure(err error) {
 	var limited *discovery.RateLimitedError
 	var retryAfter time.Duration
--- a/internal/system/agent/proxymonitor.go
+++ b/internal/system/agent/proxymonitor.go
@@ -62,6 +62,7 @@
 	return &reply, nil
 }
 
+// tick expires the last report; the timer calls it.
 func (p *proxyMonitor) tick() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -138,6 +139,7 @@
 	p.announcer.SetServing(gossipServing(state))
 }
 
+// gossipServing returns what the other members learn of a state.
 func gossipServing(state proxystatus.State) gossip.Serving {
 	switch state {
 	case proxystatus.Serving:
--- a/internal/system/agent/store.go
+++ b/internal/system/agent/store.go
@@ -168,6 +168,7 @@
 	return s.sources(s.tables.Served)
 }
 
+// sources returns the partitions of a kind of table as feedserver.Server reads them.
 func (s *store) sources(table func(feed.Partition) *feed.Table) []feedserver.Source {
 	sources := make([]feedserver.Source, s.tables.Partitions())
 	for i := range sources {
--- a/internal/system/agent/upstream/candidates.go
+++ b/internal/system/agent/upstream/candidates.go
@@ -10,13 +10,13 @@
 
 // candidate is a replica that may be followed.
 type candidate struct {
-	address       netip.AddrPort
-	failures      int               // polls in a row that failed
-	failedAt      time.Duration     // time of the last failure
-	retryAt       time.Duration     // it is not polled earlier
-	askedInSearch uint64            // number of the last search that polled it
-	requestNumber uint64            // number of its last poll in a search
-	current       feed.PartitionSet // partitions with which it was up to date by its last reply
+	address        netip.AddrPort
+	failures       int               // polls in a row that failed
+	failedAt       time.Duration     // time of the last failure
+	retryAt        time.Duration     // it is not polled earlier
+	polledInSearch uint64            // number of the last search that polled it
+	requestNumber  uint64            // number of its last poll in a search
+	current        feed.PartitionSet // partitions with which it was up to date by its last reply
 }
 
 // deferUntil postpones the next poll of a busy candidate. Being busy is no failure.
--- a/internal/system/agent/upstream/doc.go
+++ b/internal/system/agent/upstream/doc.go
@@ -10,5 +10,5 @@
 // followed one, since those are nearer.
 //
 // Freshness is tracked separately for each partition. If no replica is up to date with all partitions, the selector
-// asks all candidates, follows the best of them (see weight) and searches again after Options.PartialInterval.
+// polls all candidates, follows the best of them (see weight) and searches again after Options.PartialInterval.
 package upstream
--- a/internal/system/agent/upstream/search.go
+++ b/internal/system/agent/upstream/search.go
@@ -44,7 +44,7 @@
 
 // lastRequest returns the number of the candidate's last poll in the current search, 0 if there was none.
 func (s *Selector) lastRequest(candidate *candidate) uint64 {
-	if candidate.askedInSearch != s.search {
+	if candidate.polledInSearch != s.search {
 		return 0
 	}
 	return candidate.requestNumber
@@ -55,7 +55,7 @@
 func (s *Selector) bestCandidate() *candidate {
 	var best *candidate
 	for _, candidate := range s.candidates {
-		if candidate.askedInSearch != s.search || candidate.current.IsEmpty() {
+		if candidate.polledInSearch != s.search || candidate.current.IsEmpty() {
 			continue
 		}
 		if best == nil || weight(candidate.current) > weight(best.current) {
--- a/internal/system/agent/upstream/selector.go
+++ b/internal/system/agent/upstream/selector.go
@@ -114,8 +114,8 @@
 		return Request{}, s.nextRequestAt - now
 	}
 	next, wait := s.nextCandidate(now)
-	askedAll := next == nil || next.askedInSearch == s.search // all candidates that can be polled now
-	if askedAll {
+	polledAll := next == nil || next.polledInSearch == s.search // all candidates that can be polled now
+	if polledAll {
 		if best := s.bestCandidate(); best != nil {
 			s.follow(now, best)
 			return s.Next(now)
@@ -133,7 +133,7 @@
 // countRequest counts a poll of a candidate as one of the current search.
 func (s *Selector) countRequest(polled *candidate) {
 	s.requests++
-	polled.askedInSearch = s.search
+	polled.polledInSearch = s.search
 	polled.requestNumber = s.requests
 }
 
--- a/internal/system/emulator/configuration.go
+++ b/internal/system/emulator/configuration.go
@@ -55,6 +55,7 @@
 	return "streaming"
 }
 
+// routeDocumentOf returns the route of a class.
 func routeDocumentOf(c *policysim.Class) routeDocument {
 	r := routeDocument{
 		Name:        "r-" + c.Name,
@@ -77,6 +78,7 @@
 	return r
 }
 
+// serviceDocumentOf returns a service in the form of the control API.
 func serviceDocumentOf(s *policysim.Service) map[string]any {
 	service := map[string]any{
 		"name":        s.Name,
@@ -100,11 +102,17 @@
 	return service
 }
 
+// configurationDocumentOf returns the whole configuration of a scenario.
 func configurationDocumentOf(scenario *policysim.Scenario, version int) configurationDocument {
-	document := configurationDocument{Version: version, Limits: map[string]int{"max_header_bytes": 16384,
-		"max_body_bytes": 4 << 20,
-		"header_wait_ms": 3000,
-		"idle_limit_ms":  15000}}
+	document := configurationDocument{
+		Version: version,
+		Limits: map[string]int{
+			"max_header_bytes": 16384,
+			"max_body_bytes":   4 << 20,
+			"header_wait_ms":   3000,
+			"idle_limit_ms":    15000,
+		},
+	}
 	for i := range scenario.Classes {
 		document.Routes = append(document.Routes, routeDocumentOf(&scenario.Classes[i]))
 	}
--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -144,6 +144,7 @@
 	return nil
 }
 
+// programsOf returns the programs that run on a machine.
 func programsOf(m *machine) []program {
 	if m.class == coreClass {
 		return []program{control}
@@ -181,6 +182,7 @@
 	return nil
 }
 
+// isReady asks a proxy whether it is ready.
 func isReady(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/system/emulator/faults.go
+++ b/internal/system/emulator/faults.go
@@ -91,6 +91,7 @@
 	}()
 }
 
+// injectFault injects a fault. What happens to runners goes on by timers after it has returned.
 func (e *emulation) injectFault(ctx context.Context, fault Fault) error {
 	engineService := e.options.Scenario.Services[0].Name
 	switch fault {
--- a/internal/system/emulator/ports.go
+++ b/internal/system/emulator/ports.go
@@ -35,6 +35,7 @@
 	return fmt.Errorf("emulator: no %d ports in a row are free on loopback", portCount)
 }
 
+// portsAreFree reports whether portCount ports from the first one on are free on every machine.
 func (d *deployment) portsAreFree(first uint16) bool {
 	for _, m := range d.machines {
 		for port := first; port < first+portCount; port++ {
--- a/internal/system/emulator/process.go
+++ b/internal/system/emulator/process.go
@@ -60,6 +60,7 @@
 	return proc, nil
 }
 
+// start writes the settings file of the next incarnation and starts it.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -48,6 +48,7 @@
 	deniedDivisor = 500
 )
 
+// buildReport collects the results, after everything has been stopped.
 func (e *emulation) buildReport() *Report {
 	report := &Report{
 		Clients:          e.clients.Stats(),
--- a/internal/system/emulator/traffic.go
+++ b/internal/system/emulator/traffic.go
@@ -36,6 +36,7 @@
 	close(ended)
 }
 
+// clientRoute returns the route of a class as clients and the checker know it.
 func clientRoute(c *policysim.Class) *client.Route {
 	r := &client.Route{
 		Name:          c.Name,
--- a/internal/system/gossip/announce.go
+++ b/internal/system/gossip/announce.go
@@ -14,6 +14,7 @@
 	l.setMetadata(func(facts *membership.Metadata) { facts.Front = front })
 }
 
+// setMetadata changes the metadata and announces it to control replicas at once; the others learn of it by gossip.
 func (l *Memberlist) setMetadata(change func(*membership.Metadata)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/system/gossip/proxies.go
+++ b/internal/system/gossip/proxies.go
@@ -40,6 +40,7 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !l.maySend(&m) }), true
 }
 
+// maySend reports whether a member counts as a proxy that may be sending.
 func (l *Memberlist) maySend(member *Member) bool {
 	if member.Role != Edge && member.Role != "" {
 		return false
--- a/internal/system/intrusivelist/list_test.go
+++ b/internal/system/intrusivelist/list_test.go
@@ -33,62 +33,78 @@
 	return list
 }
 
+// listModel is a list beside a slice that holds the same elements.
+type listModel struct {
+	list  elementList
+	slice []*element
+	added int
+}
+
+// drawIndex draws an index into the slice; it skips the action if the slice is empty.
+func (m *listModel) drawIndex(t *rapid.T) int {
+	if len(m.slice) == 0 {
+		t.Skip("empty")
+	}
+	return rapid.IntRange(0, len(m.slice)-1).Draw(t, "index")
+}
+
+func (m *listModel) push(*rapid.T) {
+	m.added++
+	e := &element{id: m.added}
+	m.list.PushBack(e)
+	m.slice = append(m.slice, e)
+}
+
+func (m *listModel) remove(t *rapid.T) {
+	i := m.drawIndex(t)
+	e := m.slice[i]
+	m.list.Remove(e)
+	m.slice = slices.Delete(m.slice, i, i+1)
+	if e.links != (Links[element]{}) {
+		t.Fatalf("%d keeps links after its removal", e.id)
+	}
+}
+
+func (m *listModel) moveToBack(t *rapid.T) {
+	i := m.drawIndex(t)
+	e := m.slice[i]
+	m.list.MoveToBack(e)
+	m.slice = append(slices.Delete(m.slice, i, i+1), e)
+}
+
+// check compares the list with the slice, in both directions.
+func (m *listModel) check(t *rapid.T) {
+	if len(m.slice) == 0 {
+		if m.list != (elementList{}) {
+			t.Fatal("an empty list is not the zero value")
+		}
+		return
+	}
+	var want []int
+	for _, e := range m.slice {
+		want = append(want, e.id)
+	}
+	if got := ids(&m.list); !slices.Equal(got, want) {
+		t.Fatalf("the list holds %v, want %v", got, want)
+	}
+	if m.list.First() != m.slice[0] {
+		t.Fatalf("the first element is %d, want %d", m.list.First().id, want[0])
+	}
+	slices.Reverse(want)
+	if got := reversed(&m.list); !slices.Equal(got, want) {
+		t.Fatalf("backwards the list holds %v, want %v", got, want)
+	}
+}
+
 // TestListIsLikeSlice compares a list with a slice over random changes.
 func TestListIsLikeSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var list elementList
-		var slice []*element
-		drawIndex := func(t *rapid.T) int {
-			if len(slice) == 0 {
-				t.Skip("empty")
-			}
-			return rapid.IntRange(0, len(slice)-1).Draw(t, "index")
-		}
-		added := 0
+		var model listModel
 		t.Repeat(map[string]func(*rapid.T){
-			"push": func(*rapid.T) {
-				added++
-				e := &element{id: added}
-				list.PushBack(e)
-				slice = append(slice, e)
-			},
-			"remove": func(t *rapid.T) {
-				i := drawIndex(t)
-				e := slice[i]
-				list.Remove(e)
-				slice = slices.Delete(slice, i, i+1)
-				if e.links != (Links[element]{}) {
-					t.Fatalf("%d keeps links after its removal", e.id)
-				}
-			},
-			"move to back": func(t *rapid.T) {
-				i := drawIndex(t)
-				e := slice[i]
-				list.MoveToBack(e)
-				slice = append(slices.Delete(slice, i, i+1), e)
-			},
-			"": func(t *rapid.T) {
-				var want []int
-				for _, e := range slice {
-					want = append(want, e.id)
-				}
-				if got := ids(&list); !slices.Equal(got, want) {
-					t.Fatalf("the list holds %v, want %v", got, want)
-				}
-				if len(slice) == 0 {
-					if list != (elementList{}) {
-						t.Fatal("an empty list is not the zero value")
-					}
-					return
-				}
-				if list.First() != slice[0] {
-					t.Fatalf("the first element is %d, want %d", list.First().id, want[0])
-				}
-				slices.Reverse(want)
-				if got := reversed(&list); !slices.Equal(got, want) {
-					t.Fatalf("backwards the list holds %v, want %v", got, want)
-				}
-			},
+			"push":         model.push,
+			"remove":       model.remove,
+			"move to back": model.moveToBack,
+			"":             model.check,
 		})
 	})
 }
--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -11,12 +11,12 @@
 
 // The outcomes of an attempt.
 const (
-	Succeeded     Outcome = iota // a complete answer
+	Succeeded     Outcome = iota // a complete response
 	Rejected                     // the runner did not run it: at capacity, or too late
 	Misdirected                  // status 421: another incarnation of the runner has the address
-	Failed                       // the runner answered with a status of 5xx
-	Interrupted                  // connection lost, malformed bytes, incomplete answer
-	TimedOut                     // no answer in time
+	Failed                       // the runner responded with a status of 5xx
+	Interrupted                  // connection lost, malformed bytes, incomplete response
+	TimedOut                     // no response in time
 	ConnectFailed                // no connection was established: surely not run
 	Cancelled                    // the client disconnected or the deadline passed; says little of the runner
 )
@@ -145,7 +145,7 @@
 	}
 }
 
-// HandleFirstEvent records the first event or byte of an answer; the time that it took shows the backlog of the runner.
+// HandleFirstEvent records the first event or byte of a response; the time that it took shows the backlog of the runner.
 func (p *Placer) HandleFirstEvent(now time.Duration, attempt *Attempt) {
 	if attempt.ended || attempt.firstEventSeen {
 		return
@@ -180,7 +180,7 @@
 	p.learnFromOutcome(now, attempt, outcome, progress)
 }
 
-// inferFirstEvent records the first event of an answer that ended without HandleFirstEvent.
+// inferFirstEvent records the first event of a response that ended without HandleFirstEvent.
 func (p *Placer) inferFirstEvent(now time.Duration, attempt *Attempt, progress Progress) {
 	elapsed := progress.TimeToFirstEvent
 	if elapsed <= 0 {
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -162,7 +162,7 @@
 }
 
 // slotTokens is how many prompt tokens weigh as much as a slot: a share of an engine's memory divided by its slots. A
-// prefill delays other requests, while an answer that is being decoded holds a slot and little else.
+// prefill delays other requests, while a response that is being decoded holds a slot and little else.
 func (s *serviceState) slotTokens() float64 {
 	if s.Backend == nil || s.Backend.Capacity <= 0 || s.Backend.CacheTokens <= 0 {
 		return math.Inf(1)
--- a/internal/system/placement/health.go
+++ b/internal/system/placement/health.go
@@ -6,7 +6,7 @@
 )
 
 // This file decides which runners are avoided: ejected, since their attempts fail more than those of their peers, or
-// suspect, since a connection or an answer never came.
+// suspect, since a connection or a response never came.
 
 // Suspicion and shared faults.
 const (
@@ -34,7 +34,7 @@
 	return sum / math.Max(observed, 1)
 }
 
-// markSuspect records that a connection or an answer never came. Each time the suspicion lasts longer.
+// markSuspect records that a connection or a response never came. Each time the suspicion lasts longer.
 func (r *runnerState) markSuspect(now time.Duration) {
 	if r.suspect && now < r.suspectUntil {
 		return
@@ -44,7 +44,7 @@
 	r.suspectUntil = now + r.suspectDuration
 }
 
-// markAlive records that the runner answers. One that was suspect may have restarted, and may be in slow start.
+// markAlive records that the runner responds. One that was suspect may have restarted, and may be in slow start.
 func (r *runnerState) markAlive(now time.Duration) {
 	if r.suspect {
 		r.slowStartGuardUntil = now + slowStartGuard
--- a/internal/system/placement/limits.go
+++ b/internal/system/placement/limits.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// learnFromSuccess learns from a complete answer.
+// learnFromSuccess learns from a complete response.
 func (p *Placer) learnFromSuccess(now time.Duration, attempt *Attempt, progress Progress) {
 	runner, request := attempt.runner, attempt.Request
 	if request.Route == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// metTargets reports whether an answer earns its full value.
+// metTargets reports whether a response earns its full value.
 func metTargets(request *Request, progress Progress) bool {
 	route := request.Route
 	first := progress.TimeToFirstEvent
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -6,7 +6,7 @@
 )
 
 // This file decides what proxies announce to each other. Each proxy sees few of a runner's requests, so they announce the
-// long prompts that they send, and that a suspect runner answers again. Correctness does not depend on notices: where none
+// long prompts that they send, and that a suspect runner responds again. Correctness does not depend on notices: where none
 // comes for a while, the load of the others is estimated from the proxy's own.
 
 // Notices.
@@ -26,7 +26,7 @@
 // The kinds of notices.
 const (
 	NoticePrefill  NoticeKind = iota + 1 // a prompt was sent to the runner
-	NoticeRecovery                       // the runner was suspect and answers again
+	NoticeRecovery                       // the runner was suspect and responds again
 )
 
 // Notice is what a proxy announces to the others about a runner.
@@ -104,7 +104,7 @@
 	p.noticeCount = 0
 }
 
-// RecoveryNotice returns what to announce about an attempt whose answer has begun; false: the runner was not suspect.
+// RecoveryNotice returns what to announce about an attempt whose response has begun; false: the runner was not suspect.
 func (a *Attempt) RecoveryNotice() (Notice, bool) {
 	if !a.endedSuspicion {
 		return Notice{}, false
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -96,7 +96,7 @@
 	return math.Max(runner.excessWait, (runner.load-runner.slots)/runner.slots*service.meanDuration)
 }
 
-// isHopeless reports whether even the best runner would answer too late, while the eligible runners are busy. The second
+// isHopeless reports whether even the best runner would respond too late, while the eligible runners are busy. The second
 // condition keeps a wrong estimate of the wait from rejecting requests while slots are free.
 func (p *Placer) isHopeless(now time.Duration, service *serviceState, request *Request, wait float64) bool {
 	if wait <= service.shedding.maxWait(now, request) {
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -52,7 +52,7 @@
 	pending         attemptList // attempts without a first event
 	suspectUntil    time.Duration
 	suspectDuration time.Duration
-	suspect         bool // a connection or an answer never came; see isAvoided
+	suspect         bool // a connection or a response never came; see isAvoided
 	probe           *Attempt
 
 	lastSentAt      time.Duration // of the last attempt
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -12,7 +12,7 @@
 const (
 	initialTarget      = 1.0   // seconds; latency target of a service before a request of its routes comes
 	initialTimeout     = 5.0   // seconds; longest timeout before a route is seen
-	initialOutputShare = 0.5   // routeStats.outputShare before an answer
+	initialOutputShare = 0.5   // routeStats.outputShare before a response
 	targetDecayRate    = 0.002 // weight of a looser target in the tightest target of a service
 	maxRoutes          = 4096  // routes with statistics; more of them clear the table
 )
@@ -25,7 +25,7 @@
 	retryBudget   retryBudget
 	prefillSpeed  float64 // prompt tokens a second of a runner that prefills nothing else; 0: not known yet
 	latencyTarget float64 // tightest target of its routes, in seconds; see observeTarget
-	meanDuration  float64 // of an answer, in seconds
+	meanDuration  float64 // of a response, in seconds
 	meanUsage     usage   // mean over its runners of their meanUsage
 	prefixHistory prefixHistory
 	shedding      loadShedding
@@ -77,7 +77,7 @@
 // isEngine reports whether the runners of the service are engines, which have a memory of tokens.
 func (s *serviceState) isEngine() bool { return s.Backend != nil && s.Backend.CacheTokens > 0 }
 
-// routeStats are running means over the answers of a route.
+// routeStats are running means over the responses of a route.
 type routeStats struct {
 	meanDuration float64 // of the time to the end, in seconds
 	deviation    float64 // mean absolute deviation from it, in seconds
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -22,7 +22,7 @@
 )
 
 // inSlowStart reports whether a runner is in slow start, or may be: the membership feed lags behind, and a runner that did
-// not answer may have restarted.
+// not respond may have restarted.
 func (r *runnerState) inSlowStart(now time.Duration) bool {
 	return now < r.SlowStartUntil || r.service.SlowStartDuration > 0 && (r.suspect || now < r.slowStartGuardUntil)
 }
--- a/internal/system/policysim/baselines.go
+++ b/internal/system/policysim/baselines.go
@@ -111,6 +111,7 @@
 
 func (b *baseline) Tick(now time.Duration) time.Duration { return now + time.Second }
 
+// leastInFlight chooses the runner with the fewest requests of this proxy in flight; ties are broken at random.
 func (b *baseline) leastInFlight(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
 	var best *placement.Runner
 	ties := 0
@@ -129,6 +130,7 @@
 	return best
 }
 
+// twoChoices chooses, of two random runners, the one with fewer requests in flight.
 func (b *baseline) twoChoices(_ *placement.Request, runners []*placement.Runner) *placement.Runner {
 	first := runners[b.random.IntN(len(runners))]
 	second := runners[b.random.IntN(len(runners))]
@@ -138,6 +140,7 @@
 	return first
 }
 
+// promptHash chooses by rendezvous hashing of the prompt; at random if it has no shared chunk.
 func (b *baseline) promptHash(request *placement.Request, runners []*placement.Runner) *placement.Runner {
 	if len(request.Chunks) < 2 {
 		return runners[b.random.IntN(len(runners))]
@@ -145,6 +148,7 @@
 	return slices.MaxFunc(runners, byRendezvousWeight(request))
 }
 
+// boundedHash is promptHash with bounded loads: a runner beyond maxLoadFactor times the mean is passed over.
 func (b *baseline) boundedHash(request *placement.Request, runners []*placement.Runner) *placement.Runner {
 	if len(request.Chunks) < 2 {
 		return b.leastInFlight(request, runners)
--- a/internal/system/policysim/runner.go
+++ b/internal/system/policysim/runner.go
@@ -86,6 +86,7 @@
 	})
 }
 
+// handleEvent passes an event of the engine on to the proxy of its attempt.
 func (r *simulatedRunner) handleEvent(event engine.Event) {
 	a := r.attempts[event.Task]
 	if event.Kind == engine.ChunkPrefilled {
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -74,6 +74,7 @@
 
 func (sim *simulation) after(wait time.Duration, do func()) { sim.at(sim.now+wait, do) }
 
+// runUntil plays the events up to a time.
 func (sim *simulation) runUntil(until time.Duration) {
 	for {
 		at, do, due := sim.eventQueue.PopUntil(until.Seconds())
@@ -103,6 +104,7 @@
 	return nil
 }
 
+// startRunners starts the runners of all services.
 func (sim *simulation) startRunners() error {
 	for i := range sim.scenario.Services {
 		service := &sim.scenario.Services[i]
@@ -157,6 +159,7 @@
 	}
 }
 
+// routeOf returns the route of a class.
 func routeOf(class *Class) *configuration.Route {
 	return &configuration.Route{
 		Name:           class.Name,
@@ -175,6 +178,7 @@
 	}
 }
 
+// serviceOf returns a service as the policies know it.
 func serviceOf(described *Service) *configuration.Service {
 	service := &configuration.Service{
 		Name:              described.Name,
@@ -196,6 +200,7 @@
 	return service
 }
 
+// tickPolicy ticks the policy of a proxy, and again whenever it asks for it.
 func (sim *simulation) tickPolicy(p *proxy) {
 	next := p.policy.Tick(sim.now)
 	sim.at(max(next, sim.now+time.Millisecond), func() { sim.tickPolicy(p) })
@@ -276,6 +281,7 @@
 	sim.after(crash.Downtime, func() { sim.restartRunner(runner) })
 }
 
+// restartRunner starts a new incarnation in place of one that has ended. The proxies learn of it later.
 func (sim *simulation) restartRunner(old *simulatedRunner) {
 	runner, err := sim.startRunner(old.service, old.info.Zone)
 	if err != nil {
--- a/internal/system/policysim/traffic.go
+++ b/internal/system/policysim/traffic.go
@@ -66,6 +66,7 @@
 	return n
 }
 
+// burstFactor returns the factor of a class's rate at a time.
 func (g *trafficGenerator) burstFactor(class *Class, now time.Duration) float64 {
 	factor := 1.0
 	for _, b := range g.scenario.Bursts {
@@ -76,6 +77,7 @@
 	return factor
 }
 
+// maxBurstFactor returns an upper bound of burstFactor over all times.
 func (g *trafficGenerator) maxBurstFactor(class *Class) float64 {
 	factor := 1.0
 	for _, b := range g.scenario.Bursts {
@@ -86,6 +88,7 @@
 	return factor
 }
 
+// addCall draws a call of a class.
 func (g *trafficGenerator) addCall(at time.Duration, class *Class, zone string) {
 	call := &Call{At: at, Class: class, Zone: zone}
 	g.calls = append(g.calls, call)
@@ -99,8 +102,10 @@
 			call.Chunks = append(call.Chunks, sharedChunk(class, level, variant%shared.Variants, shared.Tokens))
 		}
 	}
-	call.Chunks = append(call.Chunks, placement.Chunk{ID: g.random.Uint64(),
-		Tokens: int(class.OwnTokens.Sample(g.random))})
+	call.Chunks = append(call.Chunks, placement.Chunk{
+		ID:     g.random.Uint64(),
+		Tokens: int(class.OwnTokens.Sample(g.random)),
+	})
 	call.OutputTokens = int(math.Ceil(class.Events.Sample(g.random))) * g.scenario.tokensPerEvent(class.Service)
 }
 
--- a/internal/system/proxy/agentclient/feed_state.go
+++ b/internal/system/proxy/agentclient/feed_state.go
@@ -120,6 +120,7 @@
 	return configuration.DecodeLimits(item.Value)
 }
 
+// applyRoute adds a route that changed or was removed to the update.
 func applyRoute(update *Update, item *feed.Item) error {
 	name := item.Key[len(feed.KeyPrefixRoute):]
 	if item.Deleted {
@@ -134,6 +135,7 @@
 	return nil
 }
 
+// applyService records a service and marks the set of services as changed.
 func (s *feedState) applyService(update *Update, item *feed.Item) error {
 	name := item.Key[len(feed.KeyPrefixService):]
 	if item.Deleted {
@@ -149,6 +151,7 @@
 	return nil
 }
 
+// applyEvacuation records an evacuated zone and marks the set of zones as changed.
 func (s *feedState) applyEvacuation(update *Update, item *feed.Item) {
 	zone := item.Key[len(feed.KeyPrefixEvacuation):]
 	if item.Deleted {
@@ -159,6 +162,7 @@
 	update.EvacuatedZones = &map[string]bool{}
 }
 
+// applyRunner records a runner and marks the set of runners as changed.
 func (s *feedState) applyRunner(update *Update, item *feed.Item) error {
 	id := item.Key[len(feed.KeyPrefixRunner):]
 	if item.Deleted {
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -109,6 +109,7 @@
 	p.setRunners(runners)
 }
 
+// placementRunner converts a runner of the feed; its times become those of the proxy's clock.
 func (p *Proxy) placementRunner(now time.Duration, listed *agentclient.Runner) placement.Runner {
 	known := placement.Runner{
 		ID:       listed.ID,
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// upsert adds a listed runner or updates what is known of it.
 func (p *pool) upsert(listed *placement.Runner) {
 	r := p.runners[listed.ID]
 	if r == nil {
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -26,6 +26,7 @@
 	return head.Status == http.StatusOK && hasEventStream(head)
 }
 
+// hasEventStream reports whether the content type is text/event-stream.
 func hasEventStream(head *httpwire.ResponseHead) bool {
 	kind, _, _ := strings.Cut(head.Header.Get("Content-Type"), ";")
 	return strings.EqualFold(strings.Trim(kind, " \t"), "text/event-stream")
