--- a/internal/shared/httpwire/httpwire_test.go
+++ b/internal/shared/httpwire/httpwire_test.go
@@ -79,7 +79,9 @@
 		{"endless length", "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 413, Framing{}, false},
 	} {
 		head, _, err := ParseRequestHead([]byte(tc.in), 128)
-		if got := statusOf(t, err); got != tc.status || err == nil && (head.Body != tc.body || head.Close != tc.close) {
+		got := statusOf(t, err)
+		sameEnd := head.Body == tc.body && head.Close == tc.close
+		if got != tc.status || err == nil && !sameEnd {
 			t.Errorf("%s: status %d (%v), body %v, close %v", tc.name, got, err, head.Body, head.Close)
 		}
 	}
@@ -100,12 +102,12 @@
 		{"no content", "GET", "HTTP/1.1 204 No\r\n\r\n", 0, 204, Framing{}, false},
 		{"not modified", "GET", "HTTP/1.1 304 No\r\nContent-Length: 9\r\n\r\n", 0, 304, Framing{}, false},
 		{"of a HEAD", "HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", 0, 200, Framing{}, false},
-		{"interim", "GET",
-			"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 Hm\r\nLink: x\r\n\r\nHTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 0, 500,
-			Framing{ByLength, 0}, false},
+		{"interim", "GET", "HTTP/1.1 100 Go\r\n\r\n" +
+			"HTTP/1.1 103 Hm\r\nLink: x\r\n\r\n" +
+			"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 0, 500, Framing{ByLength, 0}, false},
 		{"interim alone", "GET", "HTTP/1.1 100 Go\r\n\r\n", -1, 0, Framing{}, false},
-		{"close", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", 0, 200, Framing{ByLength,
-			0}, true},
+		{"close", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", 0, 200,
+			Framing{ByLength, 0}, true},
 		{"other protocol", "GET", "SSH-2.0", 502, 0, Framing{}, false},
 		{"start of one", "GET", "HTT", -1, 0, Framing{}, false},
 		{"upgrade", "GET", "HTTP/1.1 101 Up\r\n\r\n", 502, 0, Framing{}, false},
@@ -115,8 +117,9 @@
 			Framing{}, false},
 	} {
 		head, _, err := ParseResponseHead([]byte(tc.in), tc.method, 4096)
-		if got := statusOf(t, err); got != tc.failure || head.Status != tc.status || err == nil && (head.Body != tc.body ||
-			head.Close != tc.close) {
+		got := statusOf(t, err)
+		sameEnd := head.Body == tc.body && head.Close == tc.close
+		if got != tc.failure || head.Status != tc.status || err == nil && !sameEnd {
 			t.Errorf("%s: %d (%v), status %d, body %v, close %v", tc.name, got, err, head.Status, head.Body, head.Close)
 		}
 	}
@@ -142,9 +145,9 @@
 		if rest == "" {
 			return body, consumed, false, nil
 		}
-		m := min(size, len(rest))
-		buffered = append(buffered, rest[:m]...)
-		rest = rest[m:]
+		piece := rest[:min(size, len(rest))]
+		buffered = append(buffered, piece...)
+		rest = rest[len(piece):]
 	}
 }
 
@@ -178,14 +181,16 @@
 	} {
 		for _, size := range []int{1, 2, 3, 5, 100} {
 			body, taken, done, err := readAll(tc.framing, tc.in, size)
-			if statusOf(t, err) != tc.status || body != tc.body || done != tc.done || tc.status == 0 &&
-				tc.in[taken:] != tc.rest {
+			sameRest := tc.in[taken:] == tc.rest
+			if statusOf(t, err) != tc.status || body != tc.body || done != tc.done || tc.status == 0 && !sameRest {
 				t.Errorf("%s by %d: %q, remainder %q, done %v, %v", tc.name, size, body, tc.in[taken:], done, err)
 			}
 		}
 	}
 	for name, in := range map[string]string{
-		"long line": strings.Repeat("1", 2000), "long trailer": "0\r\n" + strings.Repeat("A: b\r\n", 4000)} {
+		"long line":    strings.Repeat("1", 2000),
+		"long trailer": "0\r\n" + strings.Repeat("A: b\r\n", 4000),
+	} {
 		if _, _, _, err := readAll(chunked, in, 100); err == nil {
 			t.Errorf("%s is accepted", name)
 		}
@@ -194,10 +199,19 @@
 
 func TestIsEndToEnd(t *testing.T) {
 	h := Header{{"Connection", "x-one, X-Two"}, {"connection", "x-three"}}
-	for name, want := range map[string]bool{"Host": true, "X-Try-Id": true, "x-ONE": false, "X-Two": false,
-		"X-Three":    false,
-		"connection": false, "KEEP-ALIVE": false, "transfer-encoding": false, "Content-Length": false, "TE": false,
-		"Upgrade": false} {
+	for name, want := range map[string]bool{
+		"Host":              true,
+		"X-Try-Id":          true,
+		"x-ONE":             false,
+		"X-Two":             false,
+		"X-Three":           false,
+		"connection":        false,
+		"KEEP-ALIVE":        false,
+		"transfer-encoding": false,
+		"Content-Length":    false,
+		"TE":                false,
+		"Upgrade":           false,
+	} {
 		if got := h.IsEndToEnd(name); got != want {
 			t.Errorf("%s: %v", name, got)
 		}
@@ -241,8 +255,8 @@
 			return
 		}
 		if std.Method != head.Method || std.RequestURI != head.Target || string(stdBody) != body || reader.Buffered() > 0 {
-			t.Fatalf("%s %s %q here, %s %s %q there with %d bytes left", head.Method, head.Target, body, std.Method, std.RequestURI,
-				stdBody, reader.Buffered())
+			t.Fatalf("%s %s %q here, %s %s %q there with %d bytes left",
+				head.Method, head.Target, body, std.Method, std.RequestURI, stdBody, reader.Buffered())
 		}
 	})
 }
--- a/internal/testkit/client/attempt.go
+++ b/internal/testkit/client/attempt.go
@@ -120,8 +120,8 @@
 
 // readAnswer reads the rest of an answer whose head has been read.
 func (c *callState) readAnswer(conn *conn, head *http.Response, id string) attemptResult {
-	if got := head.Header.Get(answer.HeaderAttemptID); got != "" && got != id {
-		c.client.generator.report(checker.MisdeliveredAnswer, "an answer to attempt %s came for attempt %s", got, id)
+	if received := head.Header.Get(answer.HeaderAttemptID); received != "" && received != id {
+		c.client.generator.report(checker.MisdeliveredAnswer, "an answer to attempt %s came for attempt %s", received, id)
 	}
 	if head.StatusCode >= http.StatusOK && head.StatusCode < http.StatusMultipleChoices {
 		return c.readSuccess(conn, head, id)
--- a/internal/testkit/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -93,10 +93,12 @@
 	}
 	used.idleUntil = time.Time{}
 	for field := range strings.SplitSeq(head.Header.Get("Keep-Alive"), ",") {
-		if text, is := strings.CutPrefix(strings.TrimSpace(field), "timeout="); is {
-			if s, err := strconv.Atoi(text); err == nil {
-				used.idleUntil = time.Now().Add(time.Duration(s) * time.Second)
-			}
+		text, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
+		if !found {
+			continue
+		}
+		if seconds, err := strconv.Atoi(text); err == nil {
+			used.idleUntil = time.Now().Add(time.Duration(seconds) * time.Second)
 		}
 	}
 	used.used = true
--- a/internal/testkit/engine/engine_test.go
+++ b/internal/testkit/engine/engine_test.go
@@ -142,7 +142,8 @@
 
 func TestMemoryPressurePreemptsNewestOfLowestPriority(t *testing.T) {
 	o := smallOptions()
-	o.MaxRunning, o.MemoryTokens = 3, 240
+	o.MaxRunning = 3
+	o.MemoryTokens = 240
 	e := newEngine(t, o)
 	urgent := submit(t, e, 0, &Request{Chunks: []Chunk{{1, 50}}, OutputTokens: 60, Priority: 1})
 	older := submit(t, e, 0, &Request{Chunks: []Chunk{{2, 50}}, OutputTokens: 60, Priority: 5})
@@ -227,7 +228,7 @@
 	if when(events, task, Lost) != ms(30) {
 		t.Error("the task was not lost")
 	}
-	if _, is := e.Next(); is {
+	if _, ok := e.Next(); ok {
 		t.Error("a stopped engine goes on")
 	}
 }
@@ -239,7 +240,9 @@
 		o := smallOptions()
 		o.MaxRunning = rapid.IntRange(1, 5).Draw(t, "slots")
 		o.MemoryTokens = rapid.IntRange(150, 600).Draw(t, "memory")
-		o.StepTimePerRequest, o.StepTimePerKilotoken, o.StepTimePerMegapair = ms(1), ms(1), ms(1)
+		o.StepTimePerRequest = ms(1)
+		o.StepTimePerKilotoken = ms(1)
+		o.StepTimePerMegapair = ms(1)
 		e, err := New(o)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/runner/faults.go
+++ b/internal/testkit/runner/faults.go
@@ -71,7 +71,7 @@
 	if state != http.StateIdle {
 		return
 	}
-	if c, is := c.(*conn); is && c.afterAnswer != nil {
+	if c, ok := c.(*conn); ok && c.afterAnswer != nil {
 		c.Conn.Write(c.afterAnswer)
 		c.afterAnswer = nil
 	}
--- a/internal/testkit/runner/listener.go
+++ b/internal/testkit/runner/listener.go
@@ -74,7 +74,7 @@
 
 // reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
-	if tcp, is := c.(*net.TCPConn); is {
+	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 	c.Close()
--- a/internal/testkit/runner/runner_test.go
+++ b/internal/testkit/runner/runner_test.go
@@ -59,7 +59,8 @@
 
 func plainServer(o *Options) {
 	o.Engine, _ = engine.NewWorkers(1, 1)
-	o.EventTokens, o.BodyBytes = 0, 100
+	o.EventTokens = 0
+	o.BodyBytes = 100
 }
 
 // caller is a connection to a runner.
@@ -108,10 +109,10 @@
 			return list, err
 		}
 		line = strings.TrimSuffix(line, "\n")
-		if rest, is := strings.CutPrefix(line, "id: "); is {
+		if rest, found := strings.CutPrefix(line, "id: "); found {
 			id = rest
 		}
-		if rest, is := strings.CutPrefix(line, "data: "); is {
+		if rest, found := strings.CutPrefix(line, "data: "); found {
 			event, err := answer.ParseEvent(id, rest)
 			if err != nil {
 				t.Fatal(err)
@@ -194,17 +195,20 @@
 	r.BeginSlowStart(testTimeout)
 	c := dial(t, r)
 	resp, err := c.ask("GET", "/health")
-	if err != nil || resp.StatusCode != 200 || resp.Header.Get(answer.HeaderServerID) != "i-1" ||
-		resp.Header.Get(answer.HeaderSlowStart) == "" {
+	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("health: %v %+v", err, resp)
 	}
+	if resp.Header.Get(answer.HeaderServerID) != "i-1" || resp.Header.Get(answer.HeaderSlowStart) == "" {
+		t.Fatalf("health: %+v", resp)
+	}
 	resp, err = c.ask("GET", "/-/report")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got reportBody
-	if err := json.NewDecoder(resp.Body).Decode(&got); err != nil || got.CacheSize != 992 && got.CacheSize != 1000 ||
-		got.Models[0].Name != "m" {
+	err = json.NewDecoder(resp.Body).Decode(&got)
+	validSize := got.CacheSize == 992 || got.CacheSize == 1000 // whole blocks, or all
+	if err != nil || !validSize || got.Models[0].Name != "m" {
 		t.Errorf("report: %v %+v", err, got)
 	}
 	r.Drain()
@@ -318,7 +322,8 @@
 func TestDisconnectCancelsTask(t *testing.T) {
 	r := startRunner(t, func(o *Options) {
 		options := engineOptions()
-		options.MemoryTokens, options.StepTime = 1<<30, 10*time.Millisecond
+		options.MemoryTokens = 1 << 30
+		options.StepTime = 10 * time.Millisecond
 		o.Engine, _ = engine.New(options)
 	})
 	c := dial(t, r)
