--- a/internal/dispatcher/dispatch/members.go
+++ b/internal/dispatcher/dispatch/members.go
@@ -53,33 +53,11 @@
 func (d *Dispatcher) UpdateMembers(kind loadbalancer.ListKind, members []Member) {
 	d.handle(func() {
 		if kind == loadbalancer.ListFull || kind == loadbalancer.ListCached {
-			listed := make(map[loadbalancer.WorkerID]bool, len(members))
-			for i := range members {
-				listed[members[i].ID] = true
-			}
-			for id, member := range d.members {
-				member.listed.State = loadbalancer.Departed
-				if !listed[id] {
-					oldState := member.State
-					member.State = loadbalancer.Departed
-					d.trackState(member, oldState)
-				}
-			}
+			d.markUnlisted(members)
 		}
 		workers := make([]loadbalancer.Worker, 0, len(members))
 		for i := range members {
-			member := d.members[members[i].ID]
-			if member == nil {
-				member = &Member{}
-				d.members[members[i].ID] = member
-			}
-			oldState := member.State
-			members[i].drainTimes = member.drainTimes
-			*member = members[i]
-			member.listed = member.Worker
-			d.applyOverrides(member)
-			d.trackState(member, oldState)
-			workers = append(workers, member.Worker)
+			workers = append(workers, d.updateMember(&members[i]))
 		}
 		if d.Observer != nil {
 			d.Observer.ObserveMembers(kind, members)
@@ -89,6 +67,39 @@
 	})
 }
 
+// markUnlisted marks the members that a complete list does not name as departed.
+func (d *Dispatcher) markUnlisted(members []Member) {
+	listed := make(map[loadbalancer.WorkerID]bool, len(members))
+	for i := range members {
+		listed[members[i].ID] = true
+	}
+	for id, member := range d.members {
+		member.listed.State = loadbalancer.Departed
+		if !listed[id] {
+			oldState := member.State
+			member.State = loadbalancer.Departed
+			d.trackState(member, oldState)
+		}
+	}
+}
+
+// updateMember takes a member as its front lists it, and returns the worker that the balancer sees. It sets the drain
+// times of listed.
+func (d *Dispatcher) updateMember(listed *Member) loadbalancer.Worker {
+	member := d.members[listed.ID]
+	if member == nil {
+		member = &Member{}
+		d.members[listed.ID] = member
+	}
+	oldState := member.State
+	listed.drainTimes = member.drainTimes
+	*member = *listed
+	member.listed = member.Worker
+	d.applyOverrides(member)
+	d.trackState(member, oldState)
+	return member.Worker
+}
+
 // trackState updates the records after the balancer's view of a member has changed from oldState.
 func (d *Dispatcher) trackState(member *Member, oldState loadbalancer.WorkerState) {
 	switch {
--- a/internal/dispatcher/dispatch/request.go
+++ b/internal/dispatcher/dispatch/request.go
@@ -49,13 +49,15 @@
 
 // Job is what a front submits.
 type Job struct {
-	Class         int     // index into the settings' classes; out of range: a class without settings, which is never served
-	Skill         uint32  // what a worker must be able to do; 0: what a worker without skills does
-	Slots, Memory float64 // what the job occupies on a worker, in the settings' units
-	Work          float64 // seconds that the client expects the job to take; 0: unknown
-	Deadline      float64 // when the client stops waiting
-	Payload       any     // the job in the front's own form, for the backends that understand it
-	ID, Front     string  // names of the job and of the front in records
+	Class    int     // index into the settings' classes; out of range: a class without settings, which is never served
+	Skill    uint32  // what a worker must be able to do; 0: what a worker without skills does
+	Slots    float64 // that the job occupies on a worker, in the settings' units
+	Memory   float64 // that the job occupies on a worker, in the settings' units
+	Work     float64 // seconds that the client expects the job to take; 0: unknown
+	Deadline float64 // when the client stops waiting
+	Payload  any     // the job in the front's own form, for the backends that understand it
+	ID       string  // name of the job in records
+	Front    string  // name of the front in records
 }
 
 // request is the state of an open request.
@@ -79,12 +81,12 @@
 func (d *Dispatcher) Submit(job Job, requester Requester) RequestID {
 	request := &request{job: job, requester: requester, arrivedAt: d.clock.Now()}
 	request.handle = d.requests.Insert(request)
-	for request.id = d.lastID + 1; request.id == 0 || request.id == math.MaxUint32 || d.requestsByID[request.id] != nil; request.id++ {
-	} // math.MaxUint32 is the token of the balancer's periodic timer
-	d.lastID = request.id
+	request.id = d.nextID()
 	d.requestsByID[request.id] = request
 	d.counts.Requests++
-	request.deadlineGuard = d.clock.At(job.Deadline+overdueGrace, func() { d.handle(func() { d.answerOverdue(request) }) })
+	request.deadlineGuard = d.clock.At(job.Deadline+overdueGrace, func() {
+		d.handle(func() { d.answerOverdue(request) })
+	})
 	d.handle(func() {
 		if request.answered {
 			return
@@ -102,6 +104,17 @@
 	return RequestID(request.handle)
 }
 
+// nextID returns an ID that no open request has. It is never 0, nor the token of the balancer's periodic timer.
+func (d *Dispatcher) nextID() loadbalancer.RequestID {
+	const sweepToken = math.MaxUint32
+	id := d.lastID + 1
+	for id == 0 || id == sweepToken || d.requestsByID[id] != nil {
+		id++
+	}
+	d.lastID = id
+	return id
+}
+
 // HandleDisconnect reports that the client has left: its request needs no answer any more.
 func (d *Dispatcher) HandleDisconnect(id RequestID) {
 	d.handle(func() {
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -118,9 +118,11 @@
 	for _, tenant := range document.Tenants {
 		s.Tenants = append(s.Tenants, loadbalancer.Tenant{Name: tenant.Name, QuotaPerSec: tenant.QuotaPerS})
 	}
-	var known bool
-	s.ListOnRequest, known = map[string]bool{"pushed": false, "on_request": true}[document.MembershipMode]
-	if !known {
+	switch document.MembershipMode {
+	case "pushed":
+	case "on_request":
+		s.ListOnRequest = true
+	default:
 		return s, fmt.Errorf("settings: bad membershipMode: %q", document.MembershipMode)
 	}
 	switch document.Report.Via {
@@ -171,7 +173,7 @@
 	return classes, nil
 }
 
-// reportField returns the meaning of a report column; that of x0 and x1 is told by the family.
+// reportField returns the meaning of a report column; that of x0 and x1 is given by the family.
 func (d *settingsDocument) reportField(name string) loadbalancer.ReportField {
 	switch name {
 	case "x0":
--- a/internal/dispatcher/simwire/host.go
+++ b/internal/dispatcher/simwire/host.go
@@ -87,7 +87,8 @@
 			target.guard(func() { target.balancer.HandleRequest(now, &request) })
 		}
 	case eventFirstByte:
-		request, attempt := loadbalancer.RequestID(fields.uint32()), int(fields.uint8())
+		request := loadbalancer.RequestID(fields.uint32())
+		attempt := int(fields.uint8())
 		fields.take(firstByteRest)
 		if target.isReady() && !fields.failed {
 			target.guard(func() { target.balancer.HandleFirstByte(now, request, attempt) })
@@ -162,7 +163,8 @@
 
 // handleProbeResult reads and applies a probe's result.
 func (h *Host) handleProbeResult(target *instance, fields *cursor, now float64) {
-	worker, result := loadbalancer.WorkerID(fields.uint32()), resultOf(fields.uint16())
+	worker := loadbalancer.WorkerID(fields.uint32())
+	result := resultOf(fields.uint16())
 	fields.float64() // not used
 	report := h.readReport(fields)
 	if target.isReady() && !fields.failed {
