--- a/cmd/cinderctl/check.go
+++ b/cmd/cinderctl/check.go
@@ -124,6 +124,7 @@
 	return report
 }
 
+// addChange adds the result for a change; base is nil if only the change's own form is checked.
 func (r *fileReport) addChange(body []byte, base *configuration.Document) {
 	if base == nil {
 		change, err := configuration.ParseChange(body)
@@ -138,11 +139,14 @@
 	r.addError(err, body)
 }
 
+// setDocument records the version and the size of a document; nil: it could not be read.
 func (r *fileReport) setDocument(document *configuration.Document) {
 	if document == nil {
 		return
 	}
-	r.Version, r.Routes, r.Services = document.Version(), len(document.Routes()), len(document.Services())
+	r.Version = document.Version()
+	r.Routes = len(document.Routes())
+	r.Services = len(document.Services())
 }
 
 // addError adds the problems of a *validation.Error.
@@ -171,9 +175,12 @@
 		return 0, 0
 	}
 	before := body[:offset]
-	return 1 + bytes.Count(before, []byte("\n")), offset - bytes.LastIndexByte(before, '\n')
+	line = 1 + bytes.Count(before, []byte("\n"))
+	column = offset - bytes.LastIndexByte(before, '\n')
+	return line, column
 }
 
+// printReports prints the reports as JSON or as text, as the flags say.
 func (s *session) printReports(reports []*fileReport) error {
 	if s.flags.JSON {
 		return s.printJSON(reports)
@@ -186,6 +193,7 @@
 	return nil
 }
 
+// printReport prints the problems of a file, one a line, or its summary if it has none.
 func (s *session) printReport(report *fileReport) error {
 	if len(report.Problems) == 0 {
 		return s.printLine("%s: %s", report.File, report.summary())
--- a/cmd/cinderctl/drain.go
+++ b/cmd/cinderctl/drain.go
@@ -28,6 +28,7 @@
 	client.Acknowledgement
 }
 
+// drain begins or ends the evacuation of a zone and prints the acknowledgement.
 func (s *session) drain(zone string, begin bool) error {
 	apiClient, err := s.client()
 	if err != nil {
@@ -44,5 +45,6 @@
 	if begin {
 		outcome = "evacuated"
 	}
-	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)", zone, outcome, acknowledgement.Machine, acknowledgement.Attempts)
+	return s.printLine("zone %s is %s, acknowledged by %s (attempt %d)",
+		zone, outcome, acknowledgement.Machine, acknowledgement.Attempts)
 }
--- a/cmd/cinderctl/fake_test.go
+++ b/cmd/cinderctl/fake_test.go
@@ -154,7 +154,9 @@
 		},
 	}
 	if leads {
-		partition.Replica, partition.Role, partition.LeaseMS = "0a", "leader", 900
+		partition.Replica = "0a"
+		partition.Role = "leader"
+		partition.LeaseMS = 900
 	}
 	return status.Control{
 		Node:           node,
--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -106,6 +106,7 @@
 	}
 }
 
+// print prints the tables, then the machines that did not respond.
 func (c *statusCommand) print(s *session, report *statusReport) error {
 	tables := []*table{machinesTable(report), partitionsTable(report), replicasTable(report)}
 	if c.Members {
--- a/cmd/cinderctl/statustables.go
+++ b/cmd/cinderctl/statustables.go
@@ -10,6 +10,7 @@
 	"cinderroad/internal/system/control/status"
 )
 
+// machinesTable has a row for each control machine that responded.
 func machinesTable(report *statusReport) *table {
 	t := &table{}
 	t.add("CONTROL", "RELEASE", "CONFIGURATION", "EVACUATED", "PROXIES", "READY", "FOLLOWERS", "BEHIND", "DISCOVERY")
@@ -20,23 +21,33 @@
 				behind++
 			}
 		}
-		t.add(machine.Node, shortRelease(machine.Release), strconv.FormatUint(machine.Version, 10),
-			orDash(strings.Join(machine.EvacuatedZones, ",")), strconv.Itoa(machine.ActiveProxies), strconv.Itoa(machine.ReadyProxies),
-			strconv.Itoa(len(machine.Followers)), strconv.Itoa(behind), discoveryCell(&machine.Discovery))
+		t.add(
+			machine.Node,
+			shortRelease(machine.Release),
+			formatUint(machine.Version),
+			orDash(strings.Join(machine.EvacuatedZones, ",")),
+			strconv.Itoa(machine.ActiveProxies),
+			strconv.Itoa(machine.ReadyProxies),
+			strconv.Itoa(len(machine.Followers)),
+			strconv.Itoa(behind),
+			discoveryCell(&machine.Discovery),
+		)
 	}
 	return t
 }
 
-func discoveryCell(d *status.Discovery) string {
+// discoveryCell says whether a machine polls the platform's list, and how old the list is.
+func discoveryCell(discovery *status.Discovery) string {
 	switch {
-	case !d.Holder:
+	case !discovery.Holder:
 		return "-"
-	case !d.ListReceived:
+	case !discovery.ListReceived:
 		return "holds it, platform silent"
 	}
-	return "holds it, list " + milliseconds(d.ListAgeMS) + " old"
+	return "holds it, list " + milliseconds(discovery.ListAgeMS) + " old"
 }
 
+// partitionsTable has a row for each partition and control machine, ordered by partition.
 func partitionsTable(report *statusReport) *table {
 	t := &table{}
 	t.add("PARTITION", "CONTROL", "ROLE", "TERM", "LEADER", "LEASE", "COMMIT", "APPLIED", "LAST", "ITEMS", "HEARD")
@@ -108,12 +119,21 @@
 	t.add("MEMBER", "ROLE", "ZONE", "STATE", "FOR", "SERVING", "FRONT", "RELEASE")
 	for i := range report.Machines[0].Members {
 		member := &report.Machines[0].Members[i]
-		t.add(member.Node, orDash(member.Role), orDash(member.Zone), member.State, milliseconds(member.StateAgeMS),
-			orDash(member.Serving), orDash(member.FrontAddress), shortRelease(member.Release))
+		t.add(
+			member.Node,
+			orDash(member.Role),
+			orDash(member.Zone),
+			member.State,
+			milliseconds(member.StateAgeMS),
+			orDash(member.Serving),
+			orDash(member.FrontAddress),
+			shortRelease(member.Release),
+		)
 	}
 	return t
 }
 
+// followersTable lists the followers of each control machine.
 func followersTable(report *statusReport) *table {
 	t := &table{}
 	t.add("FOLLOWER", "OF", "CONFIGURATION", "IN STEP", "ASKED")
--- a/internal/compatibility/configured_test.go
+++ b/internal/compatibility/configured_test.go
@@ -202,7 +202,9 @@
 whole = false
 `
 	got := must(operatorconfig.Parse("operator.toml", text))(t)
-	keep, series, whole := 5, 257, false
+	keep := 5
+	series := 257
+	whole := false
 	address := netip.MustParseAddrPort
 	expectEqual(t, "graphite", got.Graphite, []operatorconfig.Graphite{{
 		Address:        "127.0.0.1:2003",
@@ -275,12 +277,13 @@
 		Deadlines: []float64{5},
 	}))(t)
 	expectEqual(t, "front", []any{got.Listen, got.AllowShutdown, got.MaxJobs, got.MaxBytes}, []any{"127.0.0.1:4730", true, 10001, 33554433})
-	function, place := got.Functions[0], got.Workers[0]
+	function := got.Functions[0]
+	worker := got.Workers[0]
 	expectEqual(t, "function", []any{
 		function.Name,
 		function.Class,
 		function.Deadline,
 		function.BackgroundDeadline,
 	}, []any{"f", "score", 4.0, 61.0})
-	expectEqual(t, "place", []any{place.Network, place.Zone, place.Kind, place.Cell}, []any{"127.0.0.0/8", "milano", "five-core", 1000})
+	expectEqual(t, "place", []any{worker.Network, worker.Zone, worker.Kind, worker.Cell}, []any{"127.0.0.0/8", "milano", "five-core", 1000})
 }
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -67,7 +67,7 @@
 	for i := range parts {
 		parts[i] = uint64(i) << 50
 	}
-	for name, m := range map[string]*membership.Message{
+	for name, message := range map[string]*membership.Message{
 		"ping": {
 			Kind:           membership.Ping,
 			From:           whole,
@@ -88,9 +88,9 @@
 		"page":     {Kind: membership.Records, From: short, Number: 6, Records: []membership.Record{dead}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m.Cluster = "cinderroad"
-			recorded := compatibility.Here.Check(t, "members/"+name, must(membership.Encode(m))(t))
-			expectEqual(t, name, must(membership.Decode("cinderroad", recorded))(t), m)
+			message.Cluster = "cinderroad"
+			recorded := compatibility.Here.Check(t, "members/"+name, must(membership.Encode(message))(t))
+			expectEqual(t, name, must(membership.Decode("cinderroad", recorded))(t), message)
 		})
 	}
 	expectEqual(t, "key", membership.Key("edge-1"), uint64(18148894496435147971))
@@ -115,10 +115,10 @@
 		if err := seed.SetReadDeadline(time.Now().Add(callTimeout)); err != nil {
 			t.Fatal(err)
 		}
-		facts := receivedMetadata(t, seed)
+		metadata := receivedMetadata(t, seed)
 		want := map[gossip.Role]string{gossip.Edge: "edge", gossip.Control: "control"}[role]
-		facts.Seq = 0
-		expectEqual(t, "facts", facts, membership.Metadata{
+		metadata.Seq = 0
+		expectEqual(t, "facts", metadata, membership.Metadata{
 			Zone:    "east-a",
 			Version: "r1",
 			Serving: "starting",
@@ -137,12 +137,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := must(membership.Decode("cinderroad", datagram[:n]))(t)
-		expectEqual(t, "from", m.From.Addr, from)
-		for _, told := range m.Records {
-			if told.Name == m.From.Name && told.Metadata != nil {
-				expectEqual(t, "name", told.Name, "node-1/"+told.Metadata.Role)
-				return *told.Metadata
+		message := must(membership.Decode("cinderroad", datagram[:n]))(t)
+		expectEqual(t, "from", message.From.Addr, from)
+		for _, record := range message.Records {
+			if record.Name == message.From.Name && record.Metadata != nil {
+				expectEqual(t, "name", record.Name, "node-1/"+record.Metadata.Role)
+				return *record.Metadata
 			}
 		}
 	}
@@ -157,7 +157,8 @@
 		message []byte
 		pages   int
 	}{{"short", []byte("short"), 1}, {"long", long, 3}} {
-		receiver, got := jobreplica.NewFragmenter("fleet", 2, 1<<20), []byte(nil)
+		receiver := jobreplica.NewFragmenter("fleet", 2, 1<<20)
+		var got []byte
 		datagrams := sender.Fragment(jobreplica.Outgoing{To: 2, Data: c.message})
 		expectEqual(t, "pages", len(datagrams), c.pages)
 		for i, datagram := range datagrams {
@@ -472,7 +473,8 @@
 // TestReadBenchFrames checks the batches that the bench sends, and the replies to them.
 func TestReadBenchFrames(t *testing.T) {
 	batches := compatibility.Here.Record(t, "bench/batches", bench())
-	reader, host := simwire.NewReader(bytes.NewReader(batches)), simwire.NewHost()
+	reader := simwire.NewReader(bytes.NewReader(batches))
+	host := simwire.NewHost()
 	for number := range 4 {
 		frame := must(reader.Next())(t)
 		expectEqual(t, "number", frame.Batch, uint32(number+1))
@@ -577,8 +579,9 @@
 		StartedAtMs: 1700000000000,
 	}})
 	expectEqual(t, "list again", string(must(json.Marshal(list))(t)), text)
-	news := must(httpfront.ParseCallback([]byte(`{"id":"x","from":"u","state":"ended","share":0.5,"result":"ok","load":{"util":0.25}}`)))(t)
-	expectEqual(t, "news", news, httpfront.Callback{
+	const callbackText = `{"id":"x","from":"u","state":"ended","share":0.5,"result":"ok","load":{"util":0.25}}`
+	callback := must(httpfront.ParseCallback([]byte(callbackText)))(t)
+	expectEqual(t, "news", callback, httpfront.Callback{
 		ID:       "x",
 		Runner:   "u",
 		State:    "ended",
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -83,7 +83,7 @@
 
 // TestReadConsensusMessages checks a message of each kind.
 func TestReadConsensusMessages(t *testing.T) {
-	for name, m := range map[string]consensus.Message{
+	for name, message := range map[string]consensus.Message{
 		"pre-vote":       {Kind: consensus.MessagePreVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6},
 		"pre-vote-reply": {Kind: consensus.MessagePreVoteReply, From: 2, To: 1, Term: 7, Reject: true},
 		"vote":           {Kind: consensus.MessageVote, From: 1, To: 2, Term: 7, Index: 300, LogTerm: 6, Force: true},
@@ -114,8 +114,8 @@
 		"timeout-now":      {Kind: consensus.MessageTimeoutNow, From: 1, To: 2, Term: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			recorded := compatibility.Here.Check(t, "consensus/message-"+name, consensus.EncodeMessage(m))
-			expectEqual(t, name, must(consensus.DecodeMessage(recorded))(t), m)
+			recorded := compatibility.Here.Check(t, "consensus/message-"+name, consensus.EncodeMessage(message))
+			expectEqual(t, name, must(consensus.DecodeMessage(recorded))(t), message)
 		})
 	}
 }
@@ -405,7 +405,8 @@
 	}
 	period := found.Periods[0]
 	expectEqual(t, "period", []float64{float64(period.Timestamp), period.Interval}, []float64{1_700_000_000_000, 10})
-	reader, values := period.Read(), map[telemetry.Series]float64{}
+	reader := period.Read()
+	values := map[telemetry.Series]float64{}
 	for series, value, ok := reader.Next(); ok; series, value, ok = reader.Next() {
 		values[series] = value
 	}
@@ -515,11 +516,11 @@
 		{Kind: auditlog.Ended},
 	}
 	path := filepath.Join(t.TempDir(), "ledger")
-	book := must(auditlog.Open(linelog.Options{Path: path}, "n0", auditlog.GenerationName(1_700_000_000)))(t)
+	log := must(auditlog.Open(linelog.Options{Path: path}, "n0", auditlog.GenerationName(1_700_000_000)))(t)
 	for i, e := range entries {
-		book.Append(1_700_000_000+float64(i)/4, e)
+		log.Append(1_700_000_000+float64(i)/4, e)
 	}
-	book.Close()
+	log.Close()
 	recorded := compatibility.Here.Check(t, "ledger", must(os.ReadFile(path))(t))
 	var got []auditlog.Entry
 	if err := auditlog.Read(bytes.NewReader(recorded), func(e *auditlog.Entry) { got = append(got, *e) }, nil,
@@ -537,8 +538,8 @@
 
 // TestReadJobCommands checks the commands that job replicas agree on, and a snapshot of the state that they lead to.
 func TestReadJobCommands(t *testing.T) {
-	bounds := jobstate.Limits{TotalBytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 1 << 16, ResultRetentionMS: 1 << 40}
-	held := jobstate.New(bounds)
+	limits := jobstate.Limits{TotalBytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 1 << 16, ResultRetentionMS: 1 << 40}
+	written := jobstate.New(limits)
 	steps := []struct {
 		name    string
 		command jobstate.Command
@@ -596,12 +597,12 @@
 		recorded := compatibility.Here.Check(t, "promises/"+step.name, step.command.Encode())
 		step.command.FormatVersion = 1
 		expectEqual(t, step.name, must(jobstate.Decode(recorded))(t), step.command)
-		if _, err := held.Apply(uint64(i+1), recorded); err != nil {
+		if _, err := written.Apply(uint64(i+1), recorded); err != nil {
 			t.Fatal(step.name, err)
 		}
 	}
-	recorded := compatibility.Here.Check(t, "promises/snapshot", held.Snapshot())
-	read := jobstate.New(bounds)
+	recorded := compatibility.Here.Check(t, "promises/snapshot", written.Snapshot())
+	read := jobstate.New(limits)
 	if err := read.Restore(recorded); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/codec/codec_test.go
+++ b/internal/system/codec/codec_test.go
@@ -91,7 +91,8 @@
 	}
 	for name, read := range reads {
 		zeroInTwoBytes := []byte{0x80, 0}
-		lenient, canonical := NewReader(zeroInTwoBytes), NewCanonicalReader(zeroInTwoBytes)
+		lenient := NewReader(zeroInTwoBytes)
+		canonical := NewCanonicalReader(zeroInTwoBytes)
 		read(&lenient)
 		read(&canonical)
 		if _, failed := lenient.Malformed(); failed {
--- a/internal/system/configuration/apply.go
+++ b/internal/system/configuration/apply.go
@@ -22,6 +22,7 @@
 	return changed
 }
 
+// removeEntries returns the items without those of the given names. It reuses the memory of entries.
 func removeEntries[M any](entries []entry[M], names []string) []entry[M] {
 	if len(names) == 0 {
 		return entries
@@ -33,6 +34,7 @@
 	return slices.DeleteFunc(entries, func(item entry[M]) bool { return removed[item.name] })
 }
 
+// replaceEntries replaces items by those of the same name, in their positions, and appends the others.
 func replaceEntries[M any](entries, replacements []entry[M]) []entry[M] {
 	positions := make(map[string]int, len(entries))
 	for position, item := range entries {
--- a/internal/system/configuration/change.go
+++ b/internal/system/configuration/change.go
@@ -62,6 +62,7 @@
 	return changed, nil
 }
 
+// parseChange returns what could be read of a change; nil if it is not an object at all.
 func parseChange(body []byte, problems *validation.Problems) *Change {
 	root, ok := parseRoot(body, problems)
 	if !ok {
@@ -85,6 +86,7 @@
 	hasVersion bool
 }
 
+// readField reads a top-level field of a change. Fields that this version does not know are ignored.
 func (r *changeParser) readField(name string, value jsonfield.Value) {
 	switch name {
 	case fieldVersion:
@@ -101,6 +103,7 @@
 	}
 }
 
+// readReplaced reads a field of a change's "replace".
 func (c *Change) readReplaced(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
@@ -113,12 +116,14 @@
 	case fieldServices:
 		c.services = parseEntries(value, parseService, serviceName)
 	case fieldLimits:
-		c.limits, c.rawLimits = parseLimits(value), value.Raw()
+		c.limits = parseLimits(value)
+		c.rawLimits = value.Raw()
 	default:
 		c.extras = append(c.extras, extraField{name: name, raw: value.Raw()})
 	}
 }
 
+// readRemoved reads a field of a change's "remove": the names of items.
 func (c *Change) readRemoved(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
--- a/internal/system/configuration/diff.go
+++ b/internal/system/configuration/diff.go
@@ -39,6 +39,7 @@
 	return append(writes, diffEntries(feed.KeyPrefixRoute, old.routes, next.routes)...)
 }
 
+// diffLimits returns the write of changed limits, if any.
 func diffLimits(old, next *Document) []Write {
 	switch {
 	case next.limits == nil && old.limits == nil:
@@ -51,6 +52,7 @@
 	return []Write{{Key: feed.KeyLimits, Value: bytes.Clone(next.rawLimits)}}
 }
 
+// diffExtras returns the writes for fields that this version does not know.
 func diffExtras(old, next []extraField) []Write {
 	remaining := make(map[string][]byte, len(old))
 	for _, field := range old {
@@ -72,6 +74,7 @@
 	return writes
 }
 
+// diffEntries returns the writes for a list of items; key is the prefix of their keys.
 func diffEntries[M any](key string, old, next []entry[M]) []Write {
 	remaining := make(map[string]entry[M], len(old))
 	for _, item := range old {
@@ -93,6 +96,7 @@
 	return writes
 }
 
+// encode returns the stored form of an item: its ordinal, then its JSON.
 func (e entry[M]) encode() []byte {
 	value := make([]byte, 0, ordinalSize+len(e.raw))
 	value = binary.BigEndian.AppendUint64(value, e.ordinal)
@@ -112,6 +116,8 @@
 	return aligned
 }
 
+// alignEntries gives the items of next the ordinals that items of the same names have in old, as far as the order
+// permits.
 func alignEntries[M any](old, next []entry[M]) {
 	ordinals := make(map[string]uint64, len(old))
 	for _, item := range old {
--- a/internal/system/configuration/diff_test.go
+++ b/internal/system/configuration/diff_test.go
@@ -78,7 +78,8 @@
 			if kept != nil && !bytes.Equal(kept.Encode(), keptEncoded) {
 				t.Fatalf("the last document was altered to %s", kept.Encode())
 			}
-			kept, keptEncoded = shared, shared.Encode()
+			kept = shared
+			keptEncoded = shared.Encode()
 			if rest := Diff(again, next.AlignOrdinals(current)); current != nil && len(rest) > 0 {
 				t.Fatalf("the rebased document is still different: %v", rest)
 			}
--- a/internal/system/configuration/limits_parser.go
+++ b/internal/system/configuration/limits_parser.go
@@ -9,6 +9,7 @@
 	return limits
 }
 
+// readField reads a field of the limits. Fields that this version does not know are ignored.
 func (l *Limits) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
--- a/internal/system/configuration/parse.go
+++ b/internal/system/configuration/parse.go
@@ -61,6 +61,7 @@
 	hasVersion, hasRoutes, hasServices bool
 }
 
+// readField reads a top-level field. One that this version does not know is kept as it was written.
 func (r *documentParser) readField(name string, value jsonfield.Value) {
 	document := r.document
 	switch name {
--- a/internal/system/configuration/route_parser.go
+++ b/internal/system/configuration/route_parser.go
@@ -22,6 +22,7 @@
 	hasShares bool
 }
 
+// readField reads a field of a route. Fields that this version does not know are ignored.
 func (r *routeParser) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
@@ -55,6 +56,7 @@
 	}
 }
 
+// readDuration reads a field whose name ends with the unit of a duration.
 func (r *routeParser) readDuration(name string, value jsonfield.Value) {
 	base, unit := jsonfield.SplitDurationUnit(name)
 	if unit == 0 {
@@ -97,6 +99,7 @@
 	}
 }
 
+// readShare reads an element of the shares.
 func (r *routeParser) readShare(_ int, value jsonfield.Value) {
 	r.hasShares = true
 	share := Share{}
@@ -111,6 +114,7 @@
 	r.route.Shares = append(r.route.Shares, share)
 }
 
+// finish checks which fields are there and sets those that follow from others.
 func (r *routeParser) finish(value jsonfield.Value) {
 	if !r.hasType {
 		value.AddProblem("has no type")
--- a/internal/system/configuration/service_parser.go
+++ b/internal/system/configuration/service_parser.go
@@ -13,6 +13,7 @@
 	return service
 }
 
+// readField reads a field of a service. Fields that this version does not know are ignored.
 func (s *Service) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
@@ -36,6 +37,7 @@
 	}
 }
 
+// readField reads a field of a service's backend. Fields that this version does not know are ignored.
 func (b *Backend) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
--- a/internal/system/configuration/validate.go
+++ b/internal/system/configuration/validate.go
@@ -71,6 +71,7 @@
 	v.validateShares()
 }
 
+// validatePrefix checks the host and the path prefix, which no earlier route may have, and records them in prefixes.
 func (v *routeValidator) validatePrefix(prefixes map[routePrefix]string) {
 	if v.route.Host == "" {
 		v.addProblem("host", "is missing or empty")
@@ -86,6 +87,7 @@
 	prefixes[own] = v.route.Name
 }
 
+// validateShares checks that the services exist and that the weights add up to a finite number above 0.
 func (v *routeValidator) validateShares() {
 	sum := 0.0
 	for i, share := range v.route.Shares {
--- a/internal/system/consensus/arbitrary_input_test.go
+++ b/internal/system/consensus/arbitrary_input_test.go
@@ -39,7 +39,8 @@
 		t.Fatalf("the persistent state is invalid: %v", state.Validate())
 	}
 	test.pending = nil
-	test.commit, test.applied = 0, state.Snapshot.Index
+	test.commit = 0
+	test.applied = state.Snapshot.Index
 }
 
 // message draws a message that may be valid: its numbers are near those of the node.
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -129,6 +129,7 @@
 	return n.log.anyPossibleMembership(func(membership Membership) bool { return membership.has(n.config.ID) })
 }
 
+// handlePreVote answers whether this replica would vote for the sender in the term of the message.
 func (n *Node) handlePreVote(msg Message) {
 	if !n.canVote() {
 		return
@@ -163,6 +164,7 @@
 	n.electionDeadline = max(n.electionDeadline, n.now+n.randomDuration(n.config.ElectionTimeout*3/4, n.config.ElectionTimeout*5/4))
 }
 
+// handlePreVoteReply counts a pre-vote and starts the election once a majority has granted one.
 func (n *Node) handlePreVoteReply(msg Message) {
 	if n.role != PreCandidate || msg.Reject || msg.Term != n.term+1 {
 		return
@@ -173,6 +175,8 @@
 	}
 }
 
+// handleVote grants or refuses the vote of a term. It ignores candidates while a leader may hold a lease, unless that
+// leader has asked for this election.
 func (n *Node) handleVote(msg Message) {
 	if !n.canVote() || msg.Term < n.term {
 		return
--- a/internal/system/consensus/replication_test.go
+++ b/internal/system/consensus/replication_test.go
@@ -150,8 +150,8 @@
 	script.expect("sent", len(sent), 2)
 	script.expect("sent after a reply", len(messagesWithEntries(script.step(acknowledge(sent[0])))), 1)
 	// The others are lost, which the next heartbeat reveals.
-	beat := script.onlyMessage(MessageAppend, 2, script.tickWhenDue())
-	script.expect("heartbeat", []uint64{beat.Index, uint64(len(beat.Entries))}, []uint64{4, 0})
+	heartbeat := script.onlyMessage(MessageAppend, 2, script.tickWhenDue())
+	script.expect("heartbeat", []uint64{heartbeat.Index, uint64(len(heartbeat.Entries))}, []uint64{4, 0})
 	again := script.step(Message{Kind: MessageAppendReply, From: 2, Term: 1, Index: 4, Reject: true, RejectHint: 2, LogTerm: 1})
 	script.expect("sent again", script.onlyMessage(MessageAppend, 2, again).Index, 2)
 }
@@ -170,7 +170,8 @@
 	for _, msg := range script.becomeLeader() {
 		script.step(acknowledge(msg))
 	}
-	start, sent := script.now, 0
+	start := script.now
+	sent := 0
 	for script.now < start+20*testHeartbeat {
 		for _, msg := range script.tickWhenDue() {
 			sent++
--- a/internal/system/consensus/simulation_process_test.go
+++ b/internal/system/consensus/simulation_process_test.go
@@ -199,7 +199,8 @@
 		p.sim.send(p, msg)
 	}
 	if ready.Snapshot != nil {
-		p.applied, p.state = ready.Snapshot.Index, decodeState(ready.Snapshot.Data)
+		p.applied = ready.Snapshot.Index
+		p.state = decodeState(ready.Snapshot.Data)
 		p.sim.checkState(p)
 	}
 	for _, entry := range ready.CommittedEntries {
--- a/internal/system/consensus/snapshot_test.go
+++ b/internal/system/consensus/snapshot_test.go
@@ -70,9 +70,9 @@
 		}
 	}
 	// The appends to it were lost; it replies to the next heartbeat, at an index where all logs agree.
-	beat := script.onlyMessage(MessageAppend, 3, script.tickWhenDue())
-	script.expect("heartbeat", beat.Index, 0)
-	heartbeatReply := Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 1, Round: beat.Round}
+	heartbeat := script.onlyMessage(MessageAppend, 3, script.tickWhenDue())
+	script.expect("heartbeat", heartbeat.Index, 0)
+	heartbeatReply := Message{Kind: MessageAppendReply, From: 3, Term: 1, Index: 1, Round: heartbeat.Round}
 	script.onlyMessage(MessageInstallSnapshot, 3, script.step(heartbeatReply))
 }
 
--- a/internal/system/consensus/status_test.go
+++ b/internal/system/consensus/status_test.go
@@ -57,13 +57,13 @@
 // TestStaleInputAfterProcessPause: messages queue in the socket during the pause.
 func TestStaleInputAfterProcessPause(t *testing.T) {
 	script := newScriptedNode(t, foundingState(1, 2, 3))
-	beat := Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 1, Round: 2}
+	heartbeat := Message{Kind: MessageAppend, From: 2, Term: 1, Index: 1, LogTerm: 1, Commit: 1, Round: 2}
 	script.step(Message{Kind: MessageAppend, From: 2, Term: 1, Entries: entries(1, 1), Commit: 1, Round: 1})
 	current := script.now
 	script.now += 20 * time.Second
-	script.step(beat)
+	script.step(heartbeat)
 	script.expect("not caught up by a queued message", script.node.Status().CaughtUpAt, current)
 	script.now += staleInputHeartbeats * testHeartbeat
-	script.step(beat)
+	script.step(heartbeat)
 	script.expect("caught up by a message after the pause", script.node.Status().CaughtUpAt, script.now)
 }
--- a/internal/system/control/api/availability_test.go
+++ b/internal/system/control/api/availability_test.go
@@ -13,7 +13,8 @@
 func TestLostProposalResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := newFakeReplica()
-		fake.lostResponses, fake.lostProposals = 1, 2
+		fake.lostResponses = 1
+		fake.lostProposals = 2
 		body := documentJSON(3, routeJSON("x", "s"))
 		if response := call(fake.newAPI(), http.MethodPost, PathReplace, "0", body); response.Code != http.StatusOK {
 			t.Errorf("%d %s", response.Code, response.Body)
@@ -76,7 +77,9 @@
 			if response.Code != http.StatusOK {
 				t.Fatal(response.Code, response.Body)
 			}
-			fake.isolated, fake.noQuorum, fake.hang = true, true, hang
+			fake.isolated = true
+			fake.noQuorum = true
+			fake.hang = hang
 			for _, request := range [][4]string{
 				{http.MethodGet, PathRead, "", ""},
 				{http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))}, // repeated
--- a/internal/system/control/api/configuration.go
+++ b/internal/system/control/api/configuration.go
@@ -47,6 +47,7 @@
 	return version, len(body), err
 }
 
+// readBasedOn returns the version that a request builds on. The error is an *apiError.
 func readBasedOn(r *http.Request) (uint64, error) {
 	text := strings.TrimSpace(r.Header.Get(HeaderBasedOn))
 	if text == "" {
@@ -59,6 +60,7 @@
 	return version, nil
 }
 
+// readBody reads the whole body, of at most MaxBodyBytes. The error is an *apiError.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
--- a/internal/system/control/api/configuration_test.go
+++ b/internal/system/control/api/configuration_test.go
@@ -68,7 +68,8 @@
 	if response := call(fake.newAPI(), http.MethodPost, PathReplace, "0", documentJSON(3, routeJSON("x", "s"))); response.Code != 200 {
 		t.Fatal(response.Body)
 	}
-	snapshot, proposals := fake.state.Snapshot(), fake.proposals
+	snapshot := fake.state.Snapshot()
+	proposals := fake.proposals
 	zeroTimeout := strings.Replace(routeJSON("y", "s"), "5000", "0", 1)
 	noWeight := strings.Replace(routeJSON("y", "s"), `"service":"s"`, `"shares":[{"service":"s","weight":0}]`, 1)
 	cases := []struct{ name, path, basedOn, body string }{
--- a/internal/system/control/api/fake_test.go
+++ b/internal/system/control/api/fake_test.go
@@ -44,7 +44,9 @@
 
 func (r *fakeReplica) simulateFaults(ctx context.Context) error {
 	r.mutex.Lock()
-	hang, delay, away := r.hang, r.delay, r.noQuorum
+	hang := r.hang
+	delay := r.delay
+	away := r.noQuorum
 	r.mutex.Unlock()
 	if hang {
 		<-ctx.Done()
--- a/internal/system/control/api/interleavings_test.go
+++ b/internal/system/control/api/interleavings_test.go
@@ -38,7 +38,8 @@
 	for i := len(s.path) - 1; i >= 0; i-- {
 		if s.path[i]+1 < s.choiceCounts[i] {
 			s.path[i]++
-			s.path, s.choiceCounts = s.path[:i+1], s.choiceCounts[:i+1]
+			s.path = s.path[:i+1]
+			s.choiceCounts = s.choiceCounts[:i+1]
 			return true
 		}
 	}
@@ -134,7 +135,8 @@
 
 // Barrier covers what was committed before the call; the node may know more by then.
 func (r *exploredReplicas) Barrier(context.Context, feed.Partition) error {
-	e, node := r.exploration, r.task.node
+	e := r.exploration
+	node := r.task.node
 	committed := len(e.log)
 	alive := r.task.await(func(resume func()) {
 		e.enable("barrier", func() {
--- a/internal/system/control/api/simulation_checker_test.go
+++ b/internal/system/control/api/simulation_checker_test.go
@@ -278,7 +278,8 @@
 }
 
 func (o *operation) complete(response modelResponse, now time.Duration) {
-	o.response, o.endedAt = response, now
+	o.response = response
+	o.endedAt = now
 }
 
 // historyText lists operations, one a line.
@@ -434,7 +435,8 @@
 		if a.basedOn != b.basedOn || a.version != b.version || a.body != b.body {
 			return false
 		}
-		a, b = a.previous, b.previous
+		a = a.previous
+		b = b.previous
 	}
 	return a == b
 }
--- a/internal/system/control/api/simulation_clients_test.go
+++ b/internal/system/control/api/simulation_clients_test.go
@@ -322,7 +322,8 @@
 	}
 	c.requestCount++
 	request := sim.checker.newRequest()
-	request.zone, request.evacuate = c.zone, c.current == nil || !c.current.evacuate
+	request.zone = c.zone
+	request.evacuate = c.current == nil || !c.current.evacuate
 	if sim.chance(0.2) {
 		request.evacuate = !request.evacuate
 	}
--- a/internal/system/control/api/simulation_cluster_test.go
+++ b/internal/system/control/api/simulation_cluster_test.go
@@ -213,7 +213,8 @@
 	case 6:
 		sim.logf("node %d is replaced by an empty one", node.number)
 		node.kill()
-		node.snapshot, node.snapshotIndex = nil, 0
+		node.snapshot = nil
+		node.snapshotIndex = 0
 		sim.after(span, node.start)
 	}
 }
@@ -221,7 +222,8 @@
 // heal ends all faults and has the clients finish.
 func (sim *simulation) heal() {
 	sim.logf("all faults end")
-	sim.faultsActive, sim.noQuorumUntil = false, 0
+	sim.faultsActive = false
+	sim.noQuorumUntil = 0
 	for _, node := range sim.nodes {
 		node.frozenUntil = sim.now
 		node.start()
@@ -238,7 +240,8 @@
 	}
 	n.up = true
 	n.incarnation++
-	n.state, n.applied = n.newState(), 0
+	n.state = n.newState()
+	n.applied = 0
 	if n.snapshot != nil {
 		n.restore(n.snapshot, n.snapshotIndex)
 	}
@@ -278,7 +281,8 @@
 
 func (n *simulatedNode) takeSnapshot() {
 	if n.up {
-		n.snapshot, n.snapshotIndex = n.state.Snapshot(), n.applied
+		n.snapshot = n.state.Snapshot()
+		n.snapshotIndex = n.applied
 		if n.sim.mutation.lossySnapshots {
 			n.snapshot = snapshotWithoutChanges(n.state)
 		}
@@ -455,7 +459,8 @@
 
 // Barrier covers what was committed before the call, and sometimes what was committed during it.
 func (r *simulatedReplicas) Barrier(context.Context, feed.Partition) error {
-	t, node := r.task, r.task.node
+	t := r.task
+	node := r.task.node
 	sim := node.sim
 	if sim.mutation.staleReads {
 		return nil
--- a/internal/system/control/client/client.go
+++ b/internal/system/control/client/client.go
@@ -155,6 +155,7 @@
 	}
 }
 
+// send makes one attempt of a call at one machine, which may have handled the call even if there is an error.
 func (c *Client) send(ctx context.Context, call *Call, target *url.URL) (*Response, error) {
 	timeout := callTimeout + callTimeoutPerMiB*time.Duration(len(call.Body))/(1<<20)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/system/control/directory/choose_test.go
+++ b/internal/system/control/directory/choose_test.go
@@ -38,8 +38,12 @@
 
 // TestChoose checks which edges are chosen, in any order.
 func TestChoose(t *testing.T) {
-	a1, a2, a3 := newEdge(1, "a", "east"), newEdge(2, "a", "east"), newEdge(3, "a", "east")
-	b4, c5, c6 := newEdge(4, "b", "east"), newEdge(5, "c", "west"), newEdge(6, "c", "west")
+	a1 := newEdge(1, "a", "east")
+	a2 := newEdge(2, "a", "east")
+	a3 := newEdge(3, "a", "east")
+	b4 := newEdge(4, "b", "east")
+	c5 := newEdge(5, "c", "west")
+	c6 := newEdge(6, "c", "west")
 	cases := []struct {
 		name         string
 		edges        []Edge
--- a/internal/system/control/feedserver/pacer_test.go
+++ b/internal/system/control/feedserver/pacer_test.go
@@ -47,7 +47,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const rate = 1 << 20
 		p := pacer{bytesPerSecond: rate}
-		now, sent, largest := time.Duration(0), 0, 0
+		now := time.Duration(0)
+		sent := 0
+		largest := 0
 		var last time.Duration
 		for range rapid.IntRange(1, 300).Draw(t, "calls") {
 			now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "pause"))
--- a/internal/system/control/listeners.go
+++ b/internal/system/control/listeners.go
@@ -58,6 +58,8 @@
 	return p.serveHTTP(ctx, settings.ListenOn.Directory, newDirectoryMux(handler))
 }
 
+// startGossip joins the membership of all processes. It retries for a while if an earlier process still has the
+// address.
 func (p *Process) startGossip(ctx context.Context, options Options) (*gossip.Memberlist, error) {
 	memberOptions := gossip.FromSettings(options.Settings, gossip.Control)
 	memberOptions.Version = options.Version
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -98,14 +98,21 @@
 	}
 }
 
+// initHost makes the host of the replicas, which drives the partitions' states.
 func (p *Process) initHost(options Options) {
 	states := []replica.StateMachine{p.configuration}
 	for _, runners := range p.runners {
 		states = append(states, runners)
 	}
-	p.host = replica.New(replica.Options{Settings: options.Settings, StateMachines: states, Log: options.Log, OnFailure: p.reportFailure})
+	p.host = replica.New(replica.Options{
+		Settings:      options.Settings,
+		StateMachines: states,
+		Log:           options.Log,
+		OnFailure:     p.reportFailure,
+	})
 }
 
+// initFeedServer makes the server of the feed, with the partitions' states as its sources.
 func (p *Process) initFeedServer(notifier *feedserver.Notifier) {
 	sources := []feedserver.Source{p.configuration}
 	for _, runners := range p.runners {
@@ -132,6 +139,7 @@
 	return age
 }
 
+// initRunnerSync makes the syncer of the runner partitions with the platform's list.
 func (p *Process) initRunnerSync() {
 	settings := p.settings.Load()
 	var partitions []runnersync.Partition
--- a/internal/system/control/runnersync/ownership_test.go
+++ b/internal/system/control/runnersync/ownership_test.go
@@ -15,7 +15,8 @@
 	if cluster.step(); cluster.calls != 0 {
 		t.Error("called without a lease")
 	}
-	cluster.leads, cluster.lease = true, minLeaseRemaining
+	cluster.leads = true
+	cluster.lease = minLeaseRemaining
 	if cluster.step(); cluster.calls != 0 {
 		t.Error("called with too little lease left")
 	}
@@ -37,7 +38,9 @@
 		cluster.list = append(cluster.list, newRunner(i))
 	}
 	cluster.step()
-	cluster.leads, cluster.ledPartitions, cluster.staleness = false, feed.NewPartitionSet(2), takeoverDelay-1
+	cluster.leads = false
+	cluster.ledPartitions = feed.NewPartitionSet(2)
+	cluster.staleness = takeoverDelay - 1
 	for i := range cluster.list {
 		cluster.list[i].Draining = true
 	}
@@ -62,7 +65,8 @@
 	if cluster.step(); cluster.calls != calls {
 		t.Error("called with too little lease left")
 	}
-	cluster.leads, cluster.lease = true, time.Second
+	cluster.leads = true
+	cluster.lease = time.Second
 	if cluster.step(); !cluster.inSync(t) {
 		t.Error("not all partitions are synchronized once partition 0 has a leader")
 	}
--- a/internal/system/control/runnersync/sync_test.go
+++ b/internal/system/control/runnersync/sync_test.go
@@ -83,7 +83,8 @@
 	if cluster.proposals != 4 || item.Age != 0 {
 		t.Errorf("another slow start of equal length: %d proposals, age %v", cluster.proposals, item.Age)
 	}
-	runner.Draining, runner.TimeToTermination = true, 10*time.Second
+	runner.Draining = true
+	runner.TimeToTermination = 10 * time.Second
 	cluster.step()
 	pass(noticeRewriteInterval / 2)
 	cluster.step()
@@ -221,7 +222,9 @@
 			cluster.now += minPollInterval
 			cluster.step()
 		}
-		cluster.leads, cluster.loseResponse, cluster.leaderless[1] = true, false, false
+		cluster.leads = true
+		cluster.loseResponse = false
+		cluster.leaderless[1] = false
 		cluster.list = uniqueByID(cluster.list)
 		cluster.step()
 		cluster.step() // a list that lacks most runners takes two
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -104,7 +104,7 @@
 // diff returns the writes that make the view equal to the list, ordered by key. Runners that are stored and not listed are
 // deleted if shouldDelete reports so.
 func (v *partitionView) diff(listed map[string]*discovery.Runner, now time.Duration, shouldDelete func(key string) bool) []state.Write {
-	var out []state.Write
+	var writes []state.Write
 	for key, runner := range listed {
 		stored, exists := v.runners[key]
 		if exists && !stored.needsWrite(runner, now) {
@@ -116,13 +116,13 @@
 			changed.SlowStartRemaining++ // an equal value would not count as a change, and keep its age
 			value = discovery.EncodeRunner(changed)
 		}
-		out = append(out, state.Write{Key: key, Value: value})
+		writes = append(writes, state.Write{Key: key, Value: value})
 	}
 	for key := range v.runners {
 		if listed[key] == nil && shouldDelete(key) {
-			out = append(out, state.Write{Key: key, Deleted: true})
+			writes = append(writes, state.Write{Key: key, Deleted: true})
 		}
 	}
-	slices.SortFunc(out, func(a, b state.Write) int { return strings.Compare(a.Key, b.Key) })
-	return out
+	slices.SortFunc(writes, func(a, b state.Write) int { return strings.Compare(a.Key, b.Key) })
+	return writes
 }
--- a/internal/system/control/state/history_test.go
+++ b/internal/system/control/state/history_test.go
@@ -33,9 +33,13 @@
 	}
 	for _, replica := range []*Configuration{configuration, restored, restoredOver} {
 		for i := range changes {
-			accepted, other, late := VerdictAccepted, VerdictSuperseded, OutcomeAlreadyAccepted
+			accepted := VerdictAccepted
+			other := VerdictSuperseded
+			late := OutcomeAlreadyAccepted
 			if i < changes-RetainedChanges {
-				accepted, other, late = VerdictForgotten, VerdictForgotten, OutcomeForgotten
+				accepted = VerdictForgotten
+				other = VerdictForgotten
+				late = OutcomeForgotten
 			}
 			if got := verdictOf(replica, uint64(i), i); got != accepted {
 				t.Fatalf("change %d of %d: verdict %d, want %d", i, changes, got, accepted)
@@ -92,7 +96,8 @@
 func TestRestoreRejectsInvalidHistory(t *testing.T) {
 	snapshot := func(version uint64, changes ...AcceptedChange) []byte {
 		c := newTestConfiguration()
-		c.version, c.accepted = version, changes
+		c.version = version
+		c.accepted = changes
 		return c.Snapshot()
 	}
 	for name, data := range map[string][]byte{
--- a/internal/system/control/state/replication_test.go
+++ b/internal/system/control/state/replication_test.go
@@ -37,7 +37,8 @@
 // apply applies a command at the current index to both replicas, which must return the same result.
 func (p *replicaPair) apply(t *rapid.T, command []byte) Result {
 	t.Helper()
-	firstResult, secondResult := p.first.Apply(p.index, command), p.second.Apply(p.index, command)
+	firstResult := p.first.Apply(p.index, command)
+	secondResult := p.second.Apply(p.index, command)
 	if !bytes.Equal(firstResult, secondResult) {
 		t.Fatalf("replicas return different results: %v and %v", firstResult, secondResult)
 	}
@@ -74,7 +75,9 @@
 	if other, twice := p.acceptedOn[base]; twice {
 		t.Fatalf("changes %d and %d were both accepted on %d", other, digest, base)
 	}
-	p.acceptedOn[base], p.acceptedVersion[digest], p.version = digest, version, version
+	p.acceptedOn[base] = digest
+	p.acceptedVersion[digest] = version
+	p.version = version
 }
 
 // repeatChange sends an earlier change again, which is recognized if it was accepted, and else rejected.
@@ -115,7 +118,8 @@
 	if (result.Outcome == OutcomeAccepted) != (p.evacuated[zone] != evacuate) {
 		t.Fatalf("evacuation of %s, %t before, to %t: %+v", zone, p.evacuated[zone], evacuate, result)
 	}
-	p.evacuated[zone], p.revision = evacuate, p.index
+	p.evacuated[zone] = evacuate
+	p.revision = p.index
 }
 
 // restoreSecond replaces the second replica by one that starts from a snapshot of the first.
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -19,6 +19,7 @@
 	return body
 }
 
+// buildStatus describes this process, its replicas, its followers and the members that it knows.
 func (p *Process) buildStatus() *status.Control {
 	members := p.gossip.View()
 	description := &status.Control{
@@ -68,6 +69,7 @@
 	return descriptions
 }
 
+// describePartition describes the local replica of a partition.
 func (p *Process) describePartition(partition *replica.PartitionStatus) status.Partition {
 	group := &partition.Status
 	description := status.Partition{
--- a/internal/system/control/testcluster_test.go
+++ b/internal/system/control/testcluster_test.go
@@ -164,7 +164,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- process.Run(ctx) }()
-	c.processes[machine], c.cancels[machine], c.exits[machine] = process, stop, ended
+	c.processes[machine] = process
+	c.cancels[machine] = stop
+	c.exits[machine] = ended
 }
 
 // stop has a process shut down as after SIGTERM.
--- a/internal/system/discovery/list.go
+++ b/internal/system/discovery/list.go
@@ -96,6 +96,7 @@
 	state string
 }
 
+// readField reads a field of an entry. Unknown fields and null ones are ignored.
 func (e *listEntry) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
--- a/internal/system/discovery/response.go
+++ b/internal/system/discovery/response.go
@@ -49,6 +49,7 @@
 	return parsed, err
 }
 
+// readResponseHead reads the status line and the headers.
 func readResponseHead(reader *bufio.Reader) (response, error) {
 	line, err := readLine(reader)
 	if err != nil {
@@ -99,6 +100,7 @@
 	return nil
 }
 
+// parseHeader reads a header line. Headers that do not matter here are ignored.
 func (r *response) parseHeader(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found {
@@ -156,6 +158,7 @@
 	return body, err
 }
 
+// readChunkedBody reads a body in the chunked transfer encoding, with its trailer.
 func readChunkedBody(reader *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
@@ -180,6 +183,7 @@
 	}
 }
 
+// skipTrailer reads the header lines after a chunked body.
 func skipTrailer(reader *bufio.Reader) error {
 	for range maxHeaderLines {
 		line, err := readLine(reader)
--- a/internal/system/discovery/runner_codec.go
+++ b/internal/system/discovery/runner_codec.go
@@ -94,6 +94,7 @@
 	return address
 }
 
+// readModels reads the number of models and the models.
 func readModels(reader *codec.Reader, field string) []Model {
 	count := reader.Count(field)
 	if count == 0 {
--- a/internal/system/feed/digest.go
+++ b/internal/system/feed/digest.go
@@ -112,6 +112,7 @@
 	return existing != nil && !existing.deleted && existing.index == item.Index && bytes.Equal(existing.value, item.Value)
 }
 
+// rangeDigest returns the digest of the items of a key range.
 func (t *Table) rangeDigest(keyRange KeyRange) RangeDigest {
 	digest := RangeDigest{Range: keyRange}
 	sum := xxhash.New()
--- a/internal/system/feed/digest_test.go
+++ b/internal/system/feed/digest_test.go
@@ -9,7 +9,8 @@
 
 func TestRepairRangeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		right, oracle := NewTable(1), expectedContents{}
+		right := NewTable(1)
+		oracle := expectedContents{}
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
 			applyRandomChanges(t, 0, right, oracle)
 		}
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -171,6 +171,7 @@
 	return data
 }
 
+// readItems reads the number of items and the items, which must end with the data. packedAge is added to their ages.
 func (r *packedReader) readItems(packedAge time.Duration) []Item {
 	count := r.readUvarint()
 	if count > uint64(r.remaining)/minPackedItemBytes {
@@ -193,6 +194,7 @@
 	return items
 }
 
+// readItem reads one item.
 func (r *packedReader) readItem(packedAge time.Duration) Item {
 	item := Item{Key: string(r.readBytes()), Index: r.readUvarint()}
 	packedItemAge := r.readUvarint()
--- a/internal/system/feed/replication_test.go
+++ b/internal/system/feed/replication_test.go
@@ -13,9 +13,11 @@
 // back.
 func TestFollowersConvergeMonotonically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		replica, oracle := NewTable(2), expectedContents{}
+		replica := NewTable(2)
+		oracle := expectedContents{}
 		agents := []*Table{NewTable(2), NewTable(2)}
-		proxy, view := NewTable(2), expectedContents{}
+		proxy := NewTable(2)
+		view := expectedContents{}
 		var stale []Batch
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			agent := agents[rapid.IntRange(0, 1).Draw(t, "agent")]
--- a/internal/system/feed/table_codec.go
+++ b/internal/system/feed/table_codec.go
@@ -32,8 +32,8 @@
 		"it was damaged or written by another version, take the partition from another replica", e.Field)
 }
 
-// Encode returns the encoding of the table, deleted items included, in the form of stored state and of snapshots between control
-// replicas. Ages at now are part of it; apart from them, tables with the same contents have the same encoding.
+// Encode returns the encoding of the table, deleted items included, in the form of stored state and of snapshots between
+// control replicas. Ages at now are part of it; apart from them, tables with the same contents have the same encoding.
 func (t *Table) Encode(now time.Duration) []byte {
 	data := make([]byte, 0, t.encodedSize())
 	data = append(data, tableFormatVersion)
@@ -106,6 +106,7 @@
 	}
 }
 
+// readRecord reads what appendTo wrote.
 func readRecord(reader *codec.Reader, now time.Duration) record {
 	decoded := record{key: reader.String("key"), index: reader.Uvarint("item's index")}
 	age := reader.Uvarint("age")
--- a/internal/system/feed/table_codec_test.go
+++ b/internal/system/feed/table_codec_test.go
@@ -13,7 +13,8 @@
 
 func TestTableEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, oracle := NewTable(Partition(rapid.Uint16().Draw(t, "partition"))), expectedContents{}
+		table := NewTable(Partition(rapid.Uint16().Draw(t, "partition")))
+		oracle := expectedContents{}
 		for range rapid.IntRange(0, 40).Draw(t, "changes") {
 			applyRandomChanges(t, time.Second, table, oracle)
 		}
@@ -26,7 +27,8 @@
 			t.Fatalf("%x came back as %x", data, again)
 		}
 		position := uint64(rapid.IntRange(0, int(table.Index())+1).Draw(t, "position"))
-		got, want := decoded.BatchSince(50*time.Second, position, 0), table.BatchSince(3*time.Second, position, 0)
+		got := decoded.BatchSince(50*time.Second, position, 0)
+		want := table.BatchSince(3*time.Second, position, 0)
 		slices.SortFunc(got.Items, byKey)
 		slices.SortFunc(want.Items, byKey)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -41,7 +41,8 @@
 
 func TestTableMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, oracle := NewTable(1), expectedContents{}
+		table := NewTable(1)
+		oracle := expectedContents{}
 		for range rapid.IntRange(0, 60).Draw(t, "changes") {
 			applyRandomChanges(t, 0, table, oracle)
 			if !maps.Equal(contentsOf(table), oracle) || table.Len() != len(oracle) {
--- a/internal/system/processconfig/parse.go
+++ b/internal/system/processconfig/parse.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// readField reads a top-level field of the settings. Unknown fields and null ones are ignored.
 func (s *Settings) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
--- a/internal/system/processconfig/ports.go
+++ b/internal/system/processconfig/ports.go
@@ -32,6 +32,7 @@
 	return netip.AddrPortFrom(address, s.Port(AgentFeedPort))
 }
 
+// readPort reads an element of the range: the first and the last port.
 func (p *PortRange) readPort(index int, value jsonfield.Value) {
 	port, ok := value.Int()
 	if !ok {
--- a/internal/system/processconfig/timing.go
+++ b/internal/system/processconfig/timing.go
@@ -57,6 +57,7 @@
 	}
 }
 
+// readField reads a field of the timing. Unknown fields and null ones are ignored.
 func (t *Timing) readField(name string, value jsonfield.Value) {
 	if value.IsNull() {
 		return
@@ -71,6 +72,7 @@
 	}
 }
 
+// numberField returns where the number of a field is stored; nil if the field holds none.
 func (t *Timing) numberField(name string) *float64 {
 	switch name {
 	case "retry_ratio":
@@ -85,6 +87,8 @@
 	return nil
 }
 
+// durationField returns where the duration of a field is stored, by the field's name without its unit; nil if the field
+// holds none.
 func (t *Timing) durationField(base string) *time.Duration {
 	bounds := map[string]*time.Duration{
 		"seed_lag":      &t.SeedLag,
--- a/internal/system/replica/agent_failover_test.go
+++ b/internal/system/replica/agent_failover_test.go
@@ -62,7 +62,8 @@
 func (f *followingAgent) attempt(request upstream.Request) {
 	sim := f.sim
 	f.attempts++
-	call, machine := f.attempts, sim.byAddress[request.Address]
+	call := f.attempts
+	machine := sim.byAddress[request.Address]
 	timeout := request.Timeout
 	if machine.process == nil {
 		timeout = request.DialTimeout
@@ -131,8 +132,12 @@
 func measureVersionDelays(t *testing.T, seed uint64, leads bool, inject func(sim *simulation, s *simMachine)) []time.Duration {
 	t.Helper()
 	sim := newSimulation(seed)
-	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.SyncTime = 5, 3, 0, 5*time.Millisecond
-	sim.profile.ThinkTime, sim.faultsEnabled = 200*time.Millisecond, false
+	sim.profile.Machines = 5
+	sim.profile.Operators = 3
+	sim.profile.Loss = 0
+	sim.profile.SyncTime = 5 * time.Millisecond
+	sim.profile.ThinkTime = 200 * time.Millisecond
+	sim.faultsEnabled = false
 	sim.bootstrap()
 	for _, operator := range sim.operators {
 		operator.unlimited = true
--- a/internal/system/replica/cluster_test.go
+++ b/internal/system/replica/cluster_test.go
@@ -60,7 +60,8 @@
 func (s *listState) Restore(index uint64, snapshot []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.index, s.commands = index, nil
+	s.index = index
+	s.commands = nil
 	return gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&s.commands)
 }
 
--- a/internal/system/replica/contact_test.go
+++ b/internal/system/replica/contact_test.go
@@ -26,7 +26,9 @@
 	lost func(sim *simulation, leader, of *simMachine) bool) {
 	t.Helper()
 	sim := newSimulation(seed)
-	sim.profile.Machines, sim.profile.Loss, sim.profile.SyncTime = 5, 0, 5*time.Millisecond
+	sim.profile.Machines = 5
+	sim.profile.Loss = 0
+	sim.profile.SyncTime = 5 * time.Millisecond
 	sim.faultsEnabled = false
 	sim.bootstrap()
 	sim.runFor(scenarioWarmup)
--- a/internal/system/replica/disk_writer_test.go
+++ b/internal/system/replica/disk_writer_test.go
@@ -47,7 +47,8 @@
 // wait blocks while the disk hangs, and returns the injected error.
 func (f *faultyDisk) wait() error {
 	f.mutex.Lock()
-	refusal, stall := f.failure, f.stall
+	refusal := f.failure
+	stall := f.stall
 	f.mutex.Unlock()
 	if stall != nil {
 		<-stall
@@ -59,7 +60,8 @@
 func (f *faultyDisk) set(refusal error, stall chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.failure, f.stall = refusal, stall
+	f.failure = refusal
+	f.stall = stall
 }
 
 // newFaultyDiskCluster returns a started cluster of three with faulty disks that work at first.
--- a/internal/system/replica/elections_test.go
+++ b/internal/system/replica/elections_test.go
@@ -26,7 +26,10 @@
 func countTerms(t *testing.T, seed uint64, cut func(sim *simulation, leader, other *simMachine)) (all, after uint64) {
 	t.Helper()
 	sim := newSimulation(seed)
-	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.SyncTime = 5, 2, 0, 5*time.Millisecond
+	sim.profile.Machines = 5
+	sim.profile.Operators = 2
+	sim.profile.Loss = 0
+	sim.profile.SyncTime = 5 * time.Millisecond
 	sim.faultsEnabled = false
 	sim.bootstrap()
 	for _, operator := range sim.operators {
--- a/internal/system/replica/group_test.go
+++ b/internal/system/replica/group_test.go
@@ -216,7 +216,8 @@
 		if err := scripted.group.processReady(scripted); err != nil {
 			t.Fatal(err)
 		}
-		heartbeat.Round, heartbeat.Entries = heartbeat.Round+1, nil
+		heartbeat.Round++
+		heartbeat.Entries = nil
 		heartbeat.Index, heartbeat.LogTerm = 1, 1
 	}
 	if len(scripted.jobs) > maxQueuedJobs || scripted.group.node.Leader() != 2 {
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -134,7 +134,8 @@
 	gone := []netip.AddrPort{netip.AddrPortFrom(loopback(99), 1)}
 	for _, m := range cluster.machines {
 		m.kill()
-		m.settings.FirstBoot, m.settings.SeedNodes = false, gone
+		m.settings.FirstBoot = false
+		m.settings.SeedNodes = gone
 		m.start()
 		m.waitForCommand(0, "a")
 	}
--- a/internal/system/replica/membership_plan_test.go
+++ b/internal/system/replica/membership_plan_test.go
@@ -184,7 +184,8 @@
 		view.self = change.transferTo
 		return
 	}
-	before, majority := view.consensusMembers(), hasMajority(view)
+	before := view.consensusMembers()
+	majority := hasMajority(view)
 	d := diffMemberships(consensus.Membership{Members: before}, change.membership)
 	if d.members == 0 || d.votes > 0 && d.members != d.votes || d.votes > 1 && len(before) != len(change.membership.Members) {
 		t.Fatalf("%d members and %d votes change: %v, then %v", d.members, d.votes, memberList(before),
@@ -194,7 +195,8 @@
 	for _, m := range change.membership.Members {
 		next := memberState{Member: m, caughtUp: true}
 		if i := view.indexOf(m.ID); i >= 0 {
-			next.sinceResponse, next.caughtUp = view.members[i].sinceResponse, view.members[i].caughtUp
+			next.sinceResponse = view.members[i].sinceResponse
+			next.caughtUp = view.members[i].caughtUp
 		}
 		members = append(members, next)
 	}
--- a/internal/system/replica/repair_model_test.go
+++ b/internal/system/replica/repair_model_test.go
@@ -123,10 +123,12 @@
 	if mayBeLost && state.generations[machine] < maxGenerations-1 {
 		after := *state
 		old := replicaOf(machine, int(state.generations[machine]))
-		after.intact, after.learners = after.intact.without(old), after.learners.without(old)
+		after.intact = after.intact.without(old)
+		after.learners = after.learners.without(old)
 		after.generations[machine]++
 		fresh := replicaOf(machine, int(after.generations[machine]))
-		after.intact, after.learners = after.intact.with(fresh), after.learners.with(fresh)
+		after.intact = after.intact.with(fresh)
+		after.learners = after.learners.with(fresh)
 		after.lost |= bit
 		next = append(next, modelStep{fmt.Sprintf("machine %d loses its disk", machine), after})
 	}
@@ -190,7 +192,8 @@
 // beginReplacement is the first step of moving a voter's vote to a learner.
 func (m *repairModel) beginReplacement(s *modelState, old, taking int) (string, modelState) {
 	next := *s
-	next.leaving, next.incoming = int8(old), int8(taking)
+	next.leaving = int8(old)
+	next.incoming = int8(taking)
 	switch m.strategy {
 	case addThenRemove:
 		next.voters = next.voters.with(taking)
@@ -207,7 +210,9 @@
 func (m *repairModel) finishReplacement(state *modelState) (string, modelState) {
 	next := *state
 	old, taking := int(state.leaving), int(state.incoming)
-	next.leaving, next.incoming, next.outgoing = -1, -1, 0
+	next.leaving = -1
+	next.incoming = -1
+	next.outgoing = 0
 	next.voters = next.voters.without(old)
 	next.learners = next.learners.without(taking)
 	if state.intact.has(old) {
--- a/internal/system/replica/repair_test.go
+++ b/internal/system/replica/repair_test.go
@@ -49,10 +49,14 @@
 // newRepairSimulation returns a bootstrapped cluster that operators change all the time.
 func newRepairSimulation(seed uint64, setup repairCase) *simulation {
 	sim := newSimulation(seed)
-	sim.profile.Machines, sim.profile.Operators = setup.machines, 3
-	sim.profile.Delay, sim.profile.SyncTime, sim.profile.Loss = setup.delay, setup.sync, 0
+	sim.profile.Machines = setup.machines
+	sim.profile.Operators = 3
+	sim.profile.Delay = setup.delay
+	sim.profile.SyncTime = setup.sync
+	sim.profile.Loss = 0
 	sim.profile.RegionalDelay = min(setup.delay, 4*time.Millisecond)
-	sim.profile.ThinkTime, sim.faultsEnabled = 100*time.Millisecond, false
+	sim.profile.ThinkTime = 100 * time.Millisecond
+	sim.faultsEnabled = false
 	sim.toleratedLosses = setup.losses
 	sim.bootstrap()
 	for _, operator := range sim.operators {
--- a/internal/system/replica/sim_checks_test.go
+++ b/internal/system/replica/sim_checks_test.go
@@ -62,7 +62,8 @@
 			sim.fail("machine %d is at version %d, where %d was committed", process.machine.index, version, committed)
 		}
 	}
-	process.version, process.appliedIndex = version, process.group.appliedIndex
+	process.version = version
+	process.appliedIndex = process.group.appliedIndex
 	sim.checkStaleness(process)
 	if process.appliedIndex > sim.oracle.appliedIndex {
 		sim.checkMajority(process)
@@ -195,7 +196,8 @@
 	if after.Joint() {
 		kept := slices.EqualFunc(before.Members, after.Members, func(a, b consensus.Member) bool {
 			votes := a.Voter == b.Outgoing
-			b.Voter, b.Outgoing = a.Voter, a.Outgoing
+			b.Voter = a.Voter
+			b.Outgoing = a.Outgoing
 			return votes && a == b
 		})
 		return kept && d.votes > 1
--- a/internal/system/replica/sim_disk_test.go
+++ b/internal/system/replica/sim_disk_test.go
@@ -27,7 +27,8 @@
 
 func (d *simDisk) write(write *storage.Update) {
 	if write.InstalledSnapshot != nil {
-		d.snapshot, d.entries = *write.InstalledSnapshot, nil
+		d.snapshot = *write.InstalledSnapshot
+		d.entries = nil
 	}
 	if write.HardState != nil {
 		d.hardState = *write.HardState
@@ -77,7 +78,8 @@
 	if len(p.activeJobs) > 0 || len(p.queuedJobs) == 0 {
 		return
 	}
-	p.activeJobs, p.queuedJobs = p.queuedJobs, nil
+	p.activeJobs = p.queuedJobs
+	p.queuedJobs = nil
 	if len(durableWrites(p.activeJobs)) == 0 {
 		p.sim.schedule(time.Microsecond, func() { p.execute(p.handlePersisted) })
 		return
@@ -95,7 +97,8 @@
 
 // finishWrite ends a transaction: it succeeds, fails and is retried, or hangs.
 func (p *simProcess) finishWrite() {
-	sim, d := p.sim, p.machine.disk
+	sim := p.sim
+	d := p.machine.disk
 	switch {
 	case !p.alive:
 	case sim.now < d.stalledUntil:
--- a/internal/system/replica/sim_evacuation_test.go
+++ b/internal/system/replica/sim_evacuation_test.go
@@ -134,7 +134,9 @@
 					if sim.now > deadline || response.kind == responseUnknown || record.answered {
 						return
 					}
-					record.answered, record.evacuated, record.returned = true, response.evacuated, sim.now
+					record.answered = true
+					record.evacuated = response.evacuated
+					record.returned = sim.now
 					handle(response)
 				})
 			})
--- a/internal/system/replica/sim_linearizability_test.go
+++ b/internal/system/replica/sim_linearizability_test.go
@@ -32,7 +32,8 @@
 
 // complete records the response.
 func (o *requestRecord) complete(response simResponse, now time.Duration) {
-	o.response, o.returned = response, now
+	o.response = response
+	o.returned = now
 }
 
 // text formats the history.
@@ -82,7 +83,8 @@
 		if r.version != other.version || r.digest != other.digest {
 			return false
 		}
-		r, other = r.previous, other.previous
+		r = r.previous
+		other = other.previous
 	}
 	return r == other
 }
@@ -93,14 +95,17 @@
 var registerModel = porcupine.Model{
 	Init: func() any { return (*register)(nil) },
 	Step: func(now, input, output any) (bool, any) {
-		r, request, answer := now.(*register), input.(simRequest), output.(simResponse)
+		r := now.(*register)
+		request := input.(simRequest)
+		answer := output.(simResponse)
 		if request.read {
 			return answer.version == r.current() && (r == nil || answer.digest == r.digest), r
 		}
 		version, known := r.accepted(request.digest)
 		next := r
 		if !known && request.base == r.current() {
-			version, known = request.version, true
+			version = request.version
+			known = true
 			next = &register{previous: r, version: request.version, digest: request.digest}
 		}
 		switch answer.kind {
--- a/internal/system/replica/sim_link_test.go
+++ b/internal/system/replica/sim_link_test.go
@@ -112,7 +112,8 @@
 // reset closes a connection: all its queued messages are lost.
 func (l *simLink) reset(c *simConnection) {
 	queue := c.queue
-	c.queue, c.queuedBytes = nil, 0
+	c.queue = nil
+	c.queuedBytes = 0
 	for i := range queue {
 		queue[i].onLost()
 	}
--- a/internal/system/replica/sim_process_test.go
+++ b/internal/system/replica/sim_process_test.go
@@ -65,7 +65,8 @@
 	}
 	machine.process = process
 	process.host.self.ID = machine.disk.id
-	process.version, process.appliedIndex = process.state.Version(), process.group.appliedIndex
+	process.version = process.state.Version()
+	process.appliedIndex = process.group.appliedIndex
 	sim.oracle.checkBoot(sim, process, &stored)
 	for _, other := range sim.activeMachines() { // as gossip membership does
 		process.host.addAddress(other.address())
@@ -211,7 +212,8 @@
 
 // announceDeparture models Host.announceDeparture and ends the process once it may end.
 func (p *simProcess) announceDeparture(until time.Duration) {
-	sim, id := p.sim, p.machine.id()
+	sim := p.sim
+	id := p.machine.id()
 	p.host.departures.add(id, p.clock())
 	for _, to := range sim.activeMachines() {
 		if to == p.machine {
@@ -249,7 +251,8 @@
 
 // requestJoinAt models Host.requestJoinAt together with the handler.
 func (p *simProcess) requestJoinAt(to *simMachine) {
-	sim, member := p.sim, p.host.self
+	sim := p.sim
+	member := p.host.self
 	sim.transmit(p.machine, to, false, func(asked *simProcess) {
 		asked.host.joinRequests.add(member, asked.clock())
 		members := asked.host.members()
@@ -355,7 +358,8 @@
 		return
 	}
 	p.sim.logf("%d thaws", p.machine.index)
-	p.paused, p.resumedAt = false, p.sim.now
+	p.paused = false
+	p.resumedAt = p.sim.now
 	backlog := p.deferred
 	p.deferred = nil
 	if p.sim.chance(0.5) { // the timer may fire first
--- a/internal/system/replica/sim_rpc_test.go
+++ b/internal/system/replica/sim_rpc_test.go
@@ -117,7 +117,8 @@
 		over = true
 		done(reply, false)
 	})
-	sim, from := process.sim, process.machine
+	sim := process.sim
+	from := process.machine
 	sim.transmit(from, receiver, false, func(asked *simProcess) {
 		handle(asked, func(answer T) {
 			sim.transmit(receiver, from, false, func(*simProcess) { reply, arrived = answer, true })
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -111,7 +111,8 @@
 		sim.profile.Loss = 0.1 * sim.random.Float64()
 	}
 	if seed%thinLinkSeeds == 0 {
-		sim.profile.Bandwidth, sim.profile.PaddingBytes = thinLink*megabit, bulkThresholdBytes
+		sim.profile.Bandwidth = thinLink * megabit
+		sim.profile.PaddingBytes = bulkThresholdBytes
 	}
 	return sim
 }
@@ -154,7 +155,8 @@
 
 // runUntil runs until a condition holds, which is checked every half second, or for a duration.
 func (sim *simulation) runUntil(d time.Duration, condition func() bool) {
-	end, nextCheck := sim.now+d, sim.now+500*time.Millisecond
+	end := sim.now + d
+	nextCheck := sim.now + 500*time.Millisecond
 	for sim.failure == "" {
 		at, event, ok := sim.events.PopUntil(float64(end))
 		if !ok {
--- a/internal/system/replica/unavailability_test.go
+++ b/internal/system/replica/unavailability_test.go
@@ -19,15 +19,22 @@
 func measureUnavailability(t *testing.T, seed uint64, inject func(sim *simulation, leader *simMachine)) time.Duration {
 	t.Helper()
 	sim := newSimulation(seed)
-	sim.profile.Machines, sim.profile.Operators, sim.profile.Bandwidth, sim.profile.PaddingBytes = 5, 3, 0, 0
-	sim.profile.Delay, sim.profile.SyncTime, sim.profile.Loss = 5*time.Millisecond, 5*time.Millisecond, 0
-	sim.profile.ThinkTime, sim.faultsEnabled = 100*time.Millisecond, false
+	sim.profile.Machines = 5
+	sim.profile.Operators = 3
+	sim.profile.Bandwidth = 0
+	sim.profile.PaddingBytes = 0
+	sim.profile.Delay = 5 * time.Millisecond
+	sim.profile.SyncTime = 5 * time.Millisecond
+	sim.profile.Loss = 0
+	sim.profile.ThinkTime = 100 * time.Millisecond
+	sim.faultsEnabled = false
 	sim.bootstrap()
 	for _, operator := range sim.operators {
 		operator.unlimited = true
 	}
 	sim.runFor(scenarioWarmup)
-	startedAt, leader := sim.now, sim.leader()
+	startedAt := sim.now
+	leader := sim.leader()
 	if leader == nil {
 		t.Fatalf("seed %d: there is no leader after %v", seed, scenarioWarmup)
 	}
@@ -44,7 +51,8 @@
 
 // longestCommitGap returns the longest time without a committed version from a time until now.
 func (sim *simulation) longestCommitGap(from time.Duration) time.Duration {
-	last, longest := from, time.Duration(0)
+	last := from
+	longest := time.Duration(0)
 	for _, version := range sim.oracle.versions {
 		if version.committedAt > from {
 			longest = max(longest, version.committedAt-last)
--- a/internal/system/replica/unknown_leader_test.go
+++ b/internal/system/replica/unknown_leader_test.go
@@ -15,7 +15,9 @@
 func TestMemberCatchesUpWithUnknownLeader(t *testing.T) {
 	for seed := uint64(1); seed <= unknownLeaderSeeds; seed++ {
 		sim := newSimulation(seed)
-		sim.profile.Machines, sim.profile.Loss, sim.profile.SyncTime = 5, 0, 5*time.Millisecond
+		sim.profile.Machines = 5
+		sim.profile.Loss = 0
+		sim.profile.SyncTime = 5 * time.Millisecond
 		sim.faultsEnabled = false
 		sim.bootstrap()
 		sim.runFor(scenarioWarmup)
--- a/internal/system/replica/write_load_test.go
+++ b/internal/system/replica/write_load_test.go
@@ -49,8 +49,12 @@
 // newWriteLoad returns a bootstrapped cluster whose load starts after loadStart.
 func newWriteLoad(seed uint64, test *writeLoadCase) *writeLoad {
 	sim := newSimulation(seed)
-	sim.profile.Machines, sim.profile.Operators, sim.profile.Loss, sim.profile.EntryWeight = test.machines, 0, 0, 0
-	sim.profile.Bandwidth, sim.profile.PaddingBytes = test.bandwidth, 0
+	sim.profile.Machines = test.machines
+	sim.profile.Operators = 0
+	sim.profile.Loss = 0
+	sim.profile.EntryWeight = 0
+	sim.profile.Bandwidth = test.bandwidth
+	sim.profile.PaddingBytes = 0
 	sim.profile.Delay = sim.uniform(5*time.Millisecond, 40*time.Millisecond)
 	sim.profile.SyncTime = sim.uniform(time.Millisecond, 12*time.Millisecond)
 	sim.faultsEnabled = false
@@ -75,7 +79,8 @@
 		if process.state.Version() == 0 {
 			routes = loadRoutes
 		}
-		load.proposedVersion, load.proposedCommand = process.state.Version()+1, load.command(process.state.Version(), routes)
+		load.proposedVersion = process.state.Version() + 1
+		load.proposedCommand = load.command(process.state.Version(), routes)
 	}
 	load.proposedAt = sim.now
 	process.execute(func() { process.group.propose(process.clock(), load.proposedCommand) })
@@ -133,7 +138,9 @@
 func (load *writeLoad) restartAfter(machine *simMachine, down time.Duration) {
 	sim := load.sim
 	sim.schedule(down, func() {
-		load.restarted, load.bootedAt, load.sentBytes = machine, sim.now, sim.sentBytes
+		load.restarted = machine
+		load.bootedAt = sim.now
+		load.sentBytes = sim.sentBytes
 		sim.boot(machine)
 	})
 }
@@ -210,7 +217,8 @@
 				load := newWriteLoad(seed, test)
 				load.sim.verbose = *simSeed != 0
 				load.play(t, test)
-				times, bytes = append(times, load.caughtUpAfter), append(bytes, load.sentBytes)
+				times = append(times, load.caughtUpAfter)
+				bytes = append(bytes, load.sentBytes)
 			}
 			slices.Sort(times)
 			slices.Sort(bytes)
--- a/internal/system/rpc/call_simulation_test.go
+++ b/internal/system/rpc/call_simulation_test.go
@@ -375,7 +375,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		first, count = seed, 1
+		first = seed
+		count = 1
 	}
 	outcomes := map[string]int{}
 	for seed := first; seed < first+count; seed++ {
--- a/internal/system/rpc/receive_timeouts_test.go
+++ b/internal/system/rpc/receive_timeouts_test.go
@@ -46,7 +46,8 @@
 		}
 		times := rapid.SliceOfN(rapid.IntRange(1, 300), 0, 20).Draw(t, "times of bytes")
 		progress := newReceiveProgress(&timeouts, 0, 0)
-		now, wait := time.Duration(0), timeouts.FirstByte
+		now := time.Duration(0)
+		wait := timeouts.FirstByte
 		for wait > 0 {
 			now += wait
 			received := 0
@@ -57,10 +58,12 @@
 			}
 			wait = progress.check(now, uint64(received))
 		}
-		last, any := time.Duration(0), false
+		last := time.Duration(0)
+		any := false
 		for _, at := range times {
 			if time.Duration(at) <= now {
-				last, any = max(last, time.Duration(at)), true
+				last = max(last, time.Duration(at))
+				any = true
 			}
 		}
 		switch {
--- a/internal/system/storage/load.go
+++ b/internal/system/storage/load.go
@@ -34,6 +34,7 @@
 	return state, found, err
 }
 
+// loadHardState reads a partition's hard state, if there is one.
 func (db *database) loadHardState(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
 	return db.query(selectHardState, func(row []driver.Value) error {
 		*found = true
@@ -46,6 +47,8 @@
 	}, int64(partition))
 }
 
+// loadSnapshot reads a partition's snapshot, if there is one. The error is a *CorruptError if its membership is
+// malformed.
 func (db *database) loadSnapshot(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
 	return db.query(selectSnapshot, func(row []driver.Value) error {
 		*found = true
@@ -63,6 +66,8 @@
 	}, int64(partition))
 }
 
+// loadEntries reads the log after the snapshot, and the commit index, which entries carry. The error is a *CorruptError
+// if the log has a gap.
 func (db *database) loadEntries(partition feed.Partition, state *consensus.PersistentState, found *bool) error {
 	next := state.Snapshot.Index + 1
 	err := db.query(selectEntries, func(row []driver.Value) error {
--- a/internal/system/storage/power_loss_test.go
+++ b/internal/system/storage/power_loss_test.go
@@ -100,7 +100,8 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.store, p.folder = store, folder
+	p.store = store
+	p.folder = folder
 	p.t.Cleanup(func() { store.Close() })
 }
 
@@ -153,7 +154,8 @@
 	write := Update{Partition: 1}
 	if p.random.IntN(3) == 0 {
 		hard := consensus.HardState{Term: next.HardState.Term + 1, Vote: consensus.ReplicaID(p.random.Uint64())}
-		write.HardState, next.HardState = &hard, hard
+		write.HardState = &hard
+		next.HardState = hard
 	}
 	switch {
 	case p.random.IntN(6) == 0 && len(next.Entries) > 1:
@@ -165,7 +167,8 @@
 			Membership: newMembership(1),
 			Data:       p.data(p.random.IntN(2) == 0),
 		}
-		next.Snapshot, next.Entries = *write.CompactionSnapshot, next.Entries[cut:]
+		next.Snapshot = *write.CompactionSnapshot
+		next.Entries = next.Entries[cut:]
 	case p.random.IntN(10) == 0:
 		write.InstalledSnapshot = &consensus.Snapshot{
 			Index:      last + 5,
@@ -173,7 +176,8 @@
 			Membership: newMembership(1, 2),
 			Data:       p.data(p.random.IntN(2) == 0),
 		}
-		next.Snapshot, next.Entries = *write.InstalledSnapshot, nil
+		next.Snapshot = *write.InstalledSnapshot
+		next.Entries = nil
 	default:
 		keep := len(next.Entries) - min(p.random.IntN(3), len(next.Entries))
 		from := next.Snapshot.Index + uint64(keep) + 1
@@ -232,7 +236,8 @@
 		}
 		p.resume(visible, left, next, written)
 	default:
-		p.model, p.durable = next, after
+		p.model = next
+		p.durable = after
 	}
 }
 
--- a/internal/system/storage/store_test.go
+++ b/internal/system/storage/store_test.go
@@ -341,13 +341,15 @@
 	case 0:
 		last += rapid.Uint64Range(1, 9).Draw(t, "ahead")
 		update.InstalledSnapshot = &consensus.Snapshot{Index: last, Term: term, Membership: newMembership(1, 2), Data: []byte{1, 2}}
-		model.Snapshot, model.Entries = *update.InstalledSnapshot, nil
+		model.Snapshot = *update.InstalledSnapshot
+		model.Entries = nil
 	case 1:
 		if len(model.Entries) > 0 {
 			cut := rapid.IntRange(1, len(model.Entries)).Draw(t, "cut")
 			at := model.Entries[cut-1]
 			update.CompactionSnapshot = &consensus.Snapshot{Index: at.Index, Term: at.Term, Membership: newMembership(3), Data: []byte{3}}
-			model.Snapshot, model.Entries = *update.CompactionSnapshot, model.Entries[cut:]
+			model.Snapshot = *update.CompactionSnapshot
+			model.Entries = model.Entries[cut:]
 		}
 	default:
 		from := rapid.Uint64Range(model.Snapshot.Index+1, last+1).Draw(t, "from")
--- a/internal/system/storage/update.go
+++ b/internal/system/storage/update.go
@@ -19,6 +19,7 @@
 	return db.exec(insertMeta, int64(schemaVersion), int64(replica))
 }
 
+// applyAll applies updates in their order.
 func (db *database) applyAll(updates []Update) error {
 	for i := range updates {
 		if err := db.apply(&updates[i]); err != nil {
@@ -28,6 +29,7 @@
 	return nil
 }
 
+// apply applies the parts of an update in the order of the fields.
 func (db *database) apply(update *Update) error {
 	if update.InstalledSnapshot != nil {
 		if err := db.installSnapshot(update.Partition, update.InstalledSnapshot); err != nil {
