--- a/internal/shared/eventloop/backpressure_test.go
+++ b/internal/shared/eventloop/backpressure_test.go
@@ -91,7 +91,8 @@
 		n = len(b)
 	}
 	c.Consume(n)
-	if k.got += n; k.got == k.want {
+	k.got += n
+	if k.got == k.want {
 		k.done()
 	}
 }
--- a/internal/shared/eventloop/udp_socket_test.go
+++ b/internal/shared/eventloop/udp_socket_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net/netip"
+	"slices"
 	"testing"
 	"time"
 
@@ -13,11 +14,12 @@
 // rejected with the system's own error; a handler may close its socket.
 func TestUDPSocket(t *testing.T) {
 	loop := newLoop(t, 10)
-	any := netip.MustParseAddrPort("127.0.0.1:0")
-	var got []int
-	var socket, b *UDPSocket
-	socket, err := loop.ListenUDP(any, func(d []byte) {
-		if got = append(got, len(d)); len(got) == 3 {
+	freePort := netip.MustParseAddrPort("127.0.0.1:0")
+	var sizes []int // of the received datagrams
+	var socket *UDPSocket
+	socket, err := loop.ListenUDP(freePort, func(datagram []byte) {
+		sizes = append(sizes, len(datagram))
+		if len(sizes) == 3 {
 			socket.Close()
 			socket.Close()
 			loop.At(loop.Now()+0.05, loop.Stop)
@@ -26,15 +28,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err = loop.ListenUDP(any, func([]byte) { t.Error("unexpected datagram") }); err != nil {
+	sender, err := loop.ListenUDP(freePort, func([]byte) { t.Error("unexpected datagram") })
+	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := loop.ListenUDP(socket.Addr(), func([]byte) {}); !errors.Is(err, unix.EADDRINUSE) {
 		t.Errorf("an address in use: %v", err)
 	}
 	loop.Defer(func() {
-		for _, n := range []int{0, 100, 5000, 7} { // nobody receives the last one
-			if err := b.SendTo(socket.Addr(), make([]byte, n)); err != nil {
+		for _, size := range []int{0, 100, 5000, 7} { // nobody receives the last one
+			if err := sender.SendTo(socket.Addr(), make([]byte, size)); err != nil {
 				t.Error(err)
 			}
 		}
@@ -42,8 +45,8 @@
 	if err := loop.Run(); err != nil {
 		t.Fatal(err)
 	}
-	if len(got) != 3 || got[0] != 0 || got[1] != 100 || got[2] != maxDatagramBytes {
-		t.Errorf("received datagrams of %v bytes", got)
+	if want := []int{0, 100, maxDatagramBytes}; !slices.Equal(sizes, want) {
+		t.Errorf("received datagrams of %v bytes, want %v", sizes, want)
 	}
 	if loop.OpenSockets() != 0 {
 		t.Errorf("%d sockets count toward the limit", loop.OpenSockets())
@@ -57,7 +60,8 @@
 	var socket *UDPSocket
 	var received []float64
 	socket, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), func([]byte) {
-		if received = append(received, loop.Now()); len(received) == 2 {
+		received = append(received, loop.Now())
+		if len(received) == 2 {
 			loop.Stop()
 			return
 		}
--- a/internal/shared/membership/metadata_test.go
+++ b/internal/shared/membership/metadata_test.go
@@ -71,20 +71,20 @@
 }
 
 func TestTicksPerProbe(t *testing.T) {
-	for steps, want := range map[int]float64{0: 0.2, 2: 0.5, 10: 0.1} {
+	for ticks, want := range map[int]float64{0: 0.2, 2: 0.5, 10: 0.1} {
 		node := New(Options{
 			Cluster:       "fleet",
 			Name:          "one",
 			Addr:          netip.MustParseAddrPort("10.0.0.1:1"),
 			ProbeInterval: 1,
-			TicksPerProbe: steps,
+			TicksPerProbe: ticks,
 			Generation:    1,
 		})
 		node.Start(10)
 		at := node.NextTick()
 		node.Tick(at)
 		if got := node.NextTick() - at; got < want-1e-9 || got > want+1e-9 {
-			t.Errorf("with %d steps in a period of 1 s the next look is after %v s, want %v", steps, got, want)
+			t.Errorf("with %d ticks in a probe interval of 1 s the next tick is after %v s, want %v", ticks, got, want)
 		}
 	}
 }
@@ -103,7 +103,13 @@
 		record := Record{Name: address.String(), Addr: address, Generation: 1, Metadata: &Metadata{Seq: 1, Role: role}}
 		from := record
 		from.Metadata = nil
-		node.HandleMessage(10, &Message{Kind: Update, Cluster: "fleet", From: from, Number: 1, Records: []Record{record}})
+		node.HandleMessage(10, &Message{
+			Kind:    Update,
+			Cluster: "fleet",
+			From:    from,
+			Number:  1,
+			Records: []Record{record},
+		})
 	}
 	node.TakePackets()
 	before := node.MetadataDigest()
--- a/internal/shared/membership/simulation_test.go
+++ b/internal/shared/membership/simulation_test.go
@@ -57,7 +57,13 @@
 }
 
 func newLossyNet(seed uint64, n int) *virtualcluster.Network {
-	return virtualcluster.New(virtualcluster.Options{Seed: seed, LossRate: 0.05, Delay: 0.002, Jitter: 0.01, DuplicateRate: 0.01}, n)
+	return virtualcluster.New(virtualcluster.Options{
+		Seed:          seed,
+		LossRate:      0.05,
+		Delay:         0.002,
+		Jitter:        0.01,
+		DuplicateRate: 0.01,
+	}, n)
 }
 
 // newConvergedNet returns a cluster of n members that has converged.
--- a/internal/testkit/answer/answer.go
+++ b/internal/testkit/answer/answer.go
@@ -62,7 +62,13 @@
 	if err != nil {
 		return Seal{}, fmt.Errorf("seal %q: sum: %w", text, err)
 	}
-	return Seal{Stream: fields[0] == "s", Size: size, Checksum: uint32(sum), AttemptID: fields[3], ExecutionID: fields[4]}, nil
+	return Seal{
+		Stream:      fields[0] == "s",
+		Size:        size,
+		Checksum:    uint32(sum),
+		AttemptID:   fields[3],
+		ExecutionID: fields[4],
+	}, nil
 }
 
 // Checksum returns the CRC-32 (IEEE) of a body.
--- a/internal/testkit/processcluster/config.go
+++ b/internal/testkit/processcluster/config.go
@@ -82,8 +82,8 @@
 	c := m.cluster
 	return map[string]any{
 		"categories": []map[string]any{
-			{"name": "score", "deadlineS": 5, "objectiveS": 0.5, "repeat": "retryable", "windowS": 5, "worth": 3},
-			{"name": "once", "deadlineS": 5, "objectiveS": 0.5, "repeat": "fragile", "worth": 10},
+			{"name": classScore, "deadlineS": 5, "objectiveS": 0.5, "repeat": "retryable", "windowS": 5, "worth": 3},
+			{"name": classOnce, "deadlineS": 5, "objectiveS": 0.5, "repeat": "fragile", "worth": 10},
 		},
 		"failureDomains": failureDomains,
 		"kinds":          []string{runnerModel},
--- a/internal/testkit/processcluster/jobs.go
+++ b/internal/testkit/processcluster/jobs.go
@@ -24,6 +24,12 @@
 	maxLoggedViolations  = 20
 )
 
+// The classes of jobs in the settings.
+const (
+	classScore = "score" // may be repeated
+	classOnce  = "once"  // must not be repeated
+)
+
 // jobLog records the outcomes of jobs and violations of the job rules.
 type jobLog struct {
 	mutex      sync.Mutex
@@ -49,7 +55,9 @@
 func (b *jobLog) recordExecution(id, class string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.executions[id]++; b.executions[id] > 1 && class == "once" && len(b.violations) < maxLoggedViolations {
+	b.executions[id]++
+	repeated := b.executions[id] > 1 && class == classOnce
+	if repeated && len(b.violations) < maxLoggedViolations {
 		b.violations = append(b.violations, id+", which must not be repeated, was run again")
 	}
 }
@@ -73,9 +81,9 @@
 		if m.clientsStopped.Load() {
 			return
 		}
-		class := "score"
+		class := classScore
 		if n%4 == 0 {
-			class = "once"
+			class = classOnce
 		}
 		id := fmt.Sprintf("%016x", c.lastJobID.Add(1))
 		jobs.Add(1)
--- a/internal/testkit/runner/faults.go
+++ b/internal/testkit/runner/faults.go
@@ -37,9 +37,19 @@
 
 // draw draws the fault of a request.
 func (f *Faults) draw(random *rand.Rand) faultKind {
+	shares := []float64{ // in the order of the kinds
+		f.Truncate,
+		f.ExtraBytes,
+		f.StaleAnswer,
+		f.Garbage,
+		f.NoAnswer,
+		f.Reset,
+		f.Close,
+	}
 	left := random.Float64()
-	for i, share := range []float64{f.Truncate, f.ExtraBytes, f.StaleAnswer, f.Garbage, f.NoAnswer, f.Reset, f.Close} {
-		if left -= share; left < 0 {
+	for i, share := range shares {
+		left -= share
+		if left < 0 {
 			return faultKind(i + 1)
 		}
 	}
