--- a/internal/compatibility/configured_test.go
+++ b/internal/compatibility/configured_test.go
@@ -14,21 +14,23 @@
 	"cinderroad/loadbalancer"
 )
 
+// processSettings is a settings file as the platform writes it.
+const processSettings = `{"node":"edge-1","role":"proxy","machine_class":"edge","serves_roles":["edge"],` +
+	`"ip":"10.1.0.12","zone":"east-a","region":"east","zones":{"east-a":"east","west-a":"west"},` +
+	`"listen_on":{"front":"10.1.0.12:80","ready":"10.1.0.12:81","control":"10.1.0.12:82","directory":"10.1.0.12:83"},` +
+	`"free_ports":[7660,7675],"seed_nodes":["10.1.0.15:8146"],"first_boot":true,"counts_as_loss":true,` +
+	`"limits":{"cpu_fraction":0.4,"ram_mb":284,"open_files":4100,"link_mbps":1000.0,"storage_mb":7},"state_dir":"/state",` +
+	`"survive":{"machine_losses":1,"zones":2,"region_losses":3},` +
+	`"timing":{"seed_lag_s":1,"reuse_after_s":2,"in_touch_ms":3,"ack_within_ms":4,"catch_up_ms":5,"drain_within_s":6,` +
+	`"grace_period_s":7,"lost_slack_ms":8,"config_within_ms":9,"go_back_ms":10,"stretch_s":11,"evacuate_s":12,"recovery_s":13,` +
+	`"pass_ms":14,"ttl_max_s":15,"retry_ratio":0.2,"retry_window_s":16,"retry_extra":17,` +
+	`"cold_excess":1.5,"cold_slack":18},` +
+	`"cloud_api":{"address":"10.200.0.4:8142","rate_per_s":42.0,"max_lag_ms":800}}`
+
 // TestReadProcessSettings checks the settings file that the platform gives each program of the system.
 func TestReadProcessSettings(t *testing.T) {
-	const text = `{"node":"edge-1","role":"proxy","machine_class":"edge","serves_roles":["edge"],` +
-		`"ip":"10.1.0.12","zone":"east-a","region":"east","zones":{"east-a":"east","west-a":"west"},` +
-		`"listen_on":{"front":"10.1.0.12:80","ready":"10.1.0.12:81","control":"10.1.0.12:82","directory":"10.1.0.12:83"},` +
-		`"free_ports":[7660,7675],"seed_nodes":["10.1.0.15:8146"],"first_boot":true,"counts_as_loss":true,` +
-		`"limits":{"cpu_fraction":0.4,"ram_mb":284,"open_files":4100,"link_mbps":1000.0,"storage_mb":7},"state_dir":"/state",` +
-		`"survive":{"machine_losses":1,"zones":2,"region_losses":3},` +
-		`"timing":{"seed_lag_s":1,"reuse_after_s":2,"in_touch_ms":3,"ack_within_ms":4,"catch_up_ms":5,"drain_within_s":6,` +
-		`"grace_period_s":7,"lost_slack_ms":8,"config_within_ms":9,"go_back_ms":10,"stretch_s":11,"evacuate_s":12,"recovery_s":13,` +
-		`"pass_ms":14,"ttl_max_s":15,"retry_ratio":0.2,"retry_window_s":16,"retry_extra":17,` +
-		`"cold_excess":1.5,"cold_slack":18},` +
-		`"cloud_api":{"address":"10.200.0.4:8142","rate_per_s":42.0,"max_lag_ms":800}}`
 	const ms, s = time.Millisecond, time.Second
-	got := must(processconfig.Parse([]byte(text)))(t)
+	got := must(processconfig.Parse([]byte(processSettings)))(t)
 	expectEqual(t, "settings", *got, processconfig.Settings{
 		Node:         "edge-1",
 		Role:         "proxy",
@@ -85,19 +87,21 @@
 	}, []uint16{7660, 7661, 7662, 7663, 7664})
 }
 
+// dispatcherSettings are settings of a dispatcher. One of their fields is not known.
+const dispatcherSettings = `{"categories":[` +
+	`{"name":"a","objectiveS":0.1,"deadlineS":5,"repeat":"retryable","worth":2,"lateShare":0.25,"unknownKey":[1]},` +
+	`{"name":"b","objectiveS":0.6,"deadlineS":9,"repeat":"dedup","dedupScope":"cell","windowS":7,"worth":8,"aimStretch":3},` +
+	`{"name":"c","objectiveS":0.7,"deadlineS":10,"repeat":"fragile","dedupScope":"zone","worth":9}],` +
+	`"familyInfo":{"classKind":[-1,1],"classStretch":[2,2.5],"reportX0":"free slots","reportX1":"free memory","tellsStart":true},` +
+	`"failureDomains":["x","y"],"zone":1,"nInstances":3,"me":2,"membershipMode":"on_request","tickS":0.004,"overShareWorth":0.5,` +
+	`"guarantees":{"answerSlackS":0.016,"askWithinS":11,"coldS":23,"coldShare":0.14,"fallMultiple":4,"fallS":1.5},` +
+	`"limits":{"attemptsCap":6,"mayCancel":true,"mayProbe":true,"parallelTries":true,"retryAfter":true,"maxRetryAfterS":12},` +
+	`"report":{"fields":["outstanding","throughput","x0","x1","utilization","backlog"],"via":"pull"},` +
+	`"tenants":[{"name":"t","quotaPerS":13}]}`
+
 // TestReadDispatcherSettings checks the settings of the dispatcher and of the bench's decisions.
 func TestReadDispatcherSettings(t *testing.T) {
-	const text = `{"categories":[` +
-		`{"name":"a","objectiveS":0.1,"deadlineS":5,"repeat":"retryable","worth":2,"lateShare":0.25,"unknownKey":[1]},` +
-		`{"name":"b","objectiveS":0.6,"deadlineS":9,"repeat":"dedup","dedupScope":"cell","windowS":7,"worth":8,"aimStretch":3},` +
-		`{"name":"c","objectiveS":0.7,"deadlineS":10,"repeat":"fragile","dedupScope":"zone","worth":9}],` +
-		`"familyInfo":{"classKind":[-1,1],"classStretch":[2,2.5],"reportX0":"free slots","reportX1":"free memory","tellsStart":true},` +
-		`"failureDomains":["x","y"],"zone":1,"nInstances":3,"me":2,"membershipMode":"on_request","tickS":0.004,"overShareWorth":0.5,` +
-		`"guarantees":{"answerSlackS":0.016,"askWithinS":11,"coldS":23,"coldShare":0.14,"fallMultiple":4,"fallS":1.5},` +
-		`"limits":{"attemptsCap":6,"mayCancel":true,"mayProbe":true,"parallelTries":true,"retryAfter":true,"maxRetryAfterS":12},` +
-		`"report":{"fields":["outstanding","throughput","x0","x1","utilization","backlog"],"via":"pull"},` +
-		`"tenants":[{"name":"t","quotaPerS":13}]}`
-	got := must(settings.Parse([]byte(text)))(t)
+	got := must(settings.Parse([]byte(dispatcherSettings)))(t)
 	expectEqual(t, "settings", got, loadbalancer.Settings{
 		Classes: []loadbalancer.Class{
 			{
@@ -164,9 +168,8 @@
 	})
 }
 
-// TestReadOperatorConfigFiles checks each key of the operator's configuration file of a dispatcher.
-func TestReadOperatorConfigFiles(t *testing.T) {
-	const text = `
+// operatorConfig is an operator configuration file.
+const operatorConfig = `
 [[graphite]]
 address = "127.0.0.1:2003"
 form = "pickle"
@@ -201,7 +204,10 @@
 ledger = "/ledger"
 whole = false
 `
-	got := must(operatorconfig.Parse("operator.toml", text))(t)
+
+// TestReadOperatorConfigFiles checks each key of the operator's configuration file of a dispatcher.
+func TestReadOperatorConfigFiles(t *testing.T) {
+	got := must(operatorconfig.Parse("operator.toml", operatorConfig))(t)
 	keep := 5
 	series := 257
 	whole := false
--- a/internal/compatibility/sent_test.go
+++ b/internal/compatibility/sent_test.go
@@ -527,6 +527,10 @@
 		rest = rest[n:]
 	}
 	expectEqual(t, "rest", len(rest), 0)
+}
+
+// TestReadHandoverState checks the state of a connection and what was learnt of the workers, as frames carry them.
+func TestReadHandoverState(t *testing.T) {
 	sameJSON(t, "handover-session.json", httpfront.SessionState{HasRequested: true, HasSent: true, HasCallback: true, AcceptedAt: 12.5})
 	sameJSON(t, "handover-learnt.json", loadbalancer.Snapshot{
 		WorkByClass:   []float64{1},
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -244,6 +244,11 @@
 // TestReadControlCommands checks the commands in the logs of control replicas, their results, and the snapshots of the
 // states that they lead to.
 func TestReadControlCommands(t *testing.T) {
+	t.Run("configuration", readConfigurationCommands)
+	t.Run("runners", readRunnerCommands)
+}
+
+func readConfigurationCommands(t *testing.T) {
 	commit := state.CommitConfiguration{
 		BaseVersion: 0,
 		Version:     7,
@@ -252,10 +257,6 @@
 	}
 	evacuate := state.SetEvacuation{Zone: "east-a", Evacuated: true, ExpectedRevision: 0}
 	back := state.SetEvacuation{Zone: "east-a", ExpectedRevision: 11}
-	runners := state.WriteRunners{
-		ExpectedRevision: 0,
-		Writes:           []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}},
-	}
 
 	configuration := state.NewConfiguration(zero, nothing)
 	for _, step := range []struct {
@@ -297,9 +298,15 @@
 	result := restored.Apply(14, compatibility.Here.Read(t, "control/command-back"))
 	expectEqual(t, "back", must(state.DecodeResult(result))(t), state.Result{Outcome: state.OutcomeAccepted, Revision: 14})
 	expectEqual(t, "zones", len(restored.EvacuatedZones()), 0)
+}
 
+func readRunnerCommands(t *testing.T) {
+	runners := state.WriteRunners{
+		ExpectedRevision: 0,
+		Writes:           []state.Write{{Key: "runner/r-1", Value: []byte("one")}, {Key: "runner/r-2", Value: []byte{}}},
+	}
 	partition := state.NewRunners(1, zero, nothing)
-	recorded = compatibility.Here.Check(t, "control/command-runners", runners.Encode())
+	recorded := compatibility.Here.Check(t, "control/command-runners", runners.Encode())
 	expectEqual(t, "runners", must(state.DecodeResult(partition.Apply(20, recorded)))(t), state.Result{
 		Outcome:  state.OutcomeAccepted,
 		Revision: 20,
@@ -416,8 +423,9 @@
 	})
 }
 
-// TestReadRequestLogs checks lines of the request log, with its own reader and with that of the audit log.
-func TestReadRequestLogs(t *testing.T) {
+// writeRequestLog returns a request log with an answer that took several attempts and one that was rejected.
+func writeRequestLog(t *testing.T) []byte {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
 	log := must(requestlog.Open(requestlog.Options{
 		Path:           path,
@@ -439,7 +447,8 @@
 		Attempts: []dispatch.AttemptRecord{
 			{Worker: 1, MemberName: "a", SentAt: 100, EndedAt: 100.05, Result: loadbalancer.Rejected, AuditMark: 11},
 			{Worker: 2, Attempt: 1, MemberName: "b", SentAt: 100.05, StartedAt: 100.1, EndedAt: 100.25, Hedged: true},
-			{Worker: 3, Attempt: 2, MemberName: "c", SentAt: 100.2}},
+			{Worker: 3, Attempt: 2, MemberName: "c", SentAt: 100.2},
+		},
 	})
 	log.LogAnswer(&dispatch.AnswerRecord{
 		ID:             "y",
@@ -453,8 +462,12 @@
 		WinningAttempt: -1,
 	})
 	log.Close()
-	recorded := compatibility.Here.Check(t, "request-log", must(os.ReadFile(path))(t))
+	return must(os.ReadFile(path))(t)
+}
 
+// TestReadRequestLogs checks lines of the request log, with its own reader and with that of the audit log.
+func TestReadRequestLogs(t *testing.T) {
+	recorded := compatibility.Here.Check(t, "request-log", writeRequestLog(t))
 	var lines []requestlog.Line
 	bad := func(n int, err error) { t.Error(n, err) }
 	if err := requestlog.Read(bytes.NewReader(recorded), func(l requestlog.Line) { lines = append(lines, l) }, bad); err != nil {
@@ -472,7 +485,8 @@
 	lines[0].Attempts = nil
 	expectEqual(t, "lines", lines, []requestlog.Line{
 		{Time: 100.25, Dispatcher: "n0", ID: "x", Class: "score", Front: "platform", Verdict: "in_time", DurationMS: 250},
-		{Time: 100, Dispatcher: "n0", ID: "y", Class: "unknown", Front: "gearman", Verdict: "refused", Reason: "no_room"}})
+		{Time: 100, Dispatcher: "n0", ID: "y", Class: "unknown", Front: "gearman", Verdict: "refused", Reason: "no_room"},
+	})
 
 	var sent []auditlog.Attempt
 	if err := auditlog.Read(bytes.NewReader(recorded), nil, func(s *auditlog.Attempt) { sent = append(sent, *s) }, bad); err != nil {
@@ -536,64 +550,67 @@
 	expectEqual(t, "entries", got, entries)
 }
 
+// jobCommands are the commands that job replicas agree on, in the order in which they are applied, with the names of their
+// recorded files.
+var jobCommands = []struct {
+	name    string
+	command jobstate.Command
+}{
+	{
+		"take",
+		jobstate.Command{
+			Kind:                  jobstate.CommandSubmit,
+			TimeMS:                1000,
+			Proposer:              "n0.k3f",
+			Tenant:                "t",
+			Key:                   "k",
+			Class:                 "score",
+			Function:              "f",
+			Priority:              -1,
+			Effect:                jobstate.Keyed,
+			DeduplicationWindowMS: 5000,
+			Data:                  []byte("job"),
+		},
+	},
+	{"send", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1001, Proposer: "n0.k3f", ID: 1, Worker: "w", WorkerGroup: "g"}},
+	{
+		"end",
+		jobstate.Command{
+			Kind:         jobstate.CommandEnd,
+			TimeMS:       1002,
+			Proposer:     "n0.k3f",
+			ID:           1,
+			FencingToken: 1,
+			Data:         []byte("result"),
+			Failed:       true,
+		},
+	},
+	{
+		"take-other",
+		jobstate.Command{
+			Kind:     jobstate.CommandSubmit,
+			TimeMS:   1003,
+			Proposer: "n0.k3f",
+			Tenant:   "t",
+			Class:    "score",
+			Function: "g",
+			Effect:   jobstate.Unsafe,
+			Data:     []byte{0},
+		},
+	},
+	{"send-other", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1004, Proposer: "n0.k3f", ID: 4, Worker: "w"}},
+	{"give-up", jobstate.Command{Kind: jobstate.CommandAbandon, TimeMS: 1005, Proposer: "n1.k3g", ID: 4, FencingToken: 1}},
+	{"exclude", jobstate.Command{Kind: jobstate.CommandExclude, TimeMS: 1006, Proposer: "n1.k3g", Worker: "w"}},
+	{"include", jobstate.Command{Kind: jobstate.CommandInclude, TimeMS: 1007, Proposer: "n1.k3g", Worker: "v"}},
+	{"pass", jobstate.Command{Kind: jobstate.CommandAdvanceTime, TimeMS: 2000, Proposer: "n1.k3g"}},
+	{"unrun", jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: 2001, Proposer: "n0.k3f", ID: 9, FencingToken: 3, NotRun: true}},
+}
+
 // TestReadJobCommands checks the commands that job replicas agree on, and a snapshot of the state that they lead to.
 func TestReadJobCommands(t *testing.T) {
 	limits := jobstate.Limits{TotalBytes: 1 << 20, TenantBytes: 1 << 20, JobBytes: 1 << 16, ResultRetentionMS: 1 << 40}
 	written := jobstate.New(limits)
-	steps := []struct {
-		name    string
-		command jobstate.Command
-	}{
-		{
-			"take",
-			jobstate.Command{
-				Kind:                  jobstate.CommandSubmit,
-				TimeMS:                1000,
-				Proposer:              "n0.k3f",
-				Tenant:                "t",
-				Key:                   "k",
-				Class:                 "score",
-				Function:              "f",
-				Priority:              -1,
-				Effect:                jobstate.Keyed,
-				DeduplicationWindowMS: 5000,
-				Data:                  []byte("job"),
-			},
-		},
-		{"send", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1001, Proposer: "n0.k3f", ID: 1, Worker: "w", WorkerGroup: "g"}},
-		{
-			"end",
-			jobstate.Command{
-				Kind:         jobstate.CommandEnd,
-				TimeMS:       1002,
-				Proposer:     "n0.k3f",
-				ID:           1,
-				FencingToken: 1,
-				Data:         []byte("result"),
-				Failed:       true,
-			},
-		},
-		{
-			"take-other",
-			jobstate.Command{
-				Kind:     jobstate.CommandSubmit,
-				TimeMS:   1003,
-				Proposer: "n0.k3f",
-				Tenant:   "t",
-				Class:    "score",
-				Function: "g",
-				Effect:   jobstate.Unsafe,
-				Data:     []byte{0},
-			},
-		},
-		{"send-other", jobstate.Command{Kind: jobstate.CommandSend, TimeMS: 1004, Proposer: "n0.k3f", ID: 4, Worker: "w"}},
-		{"give-up", jobstate.Command{Kind: jobstate.CommandAbandon, TimeMS: 1005, Proposer: "n1.k3g", ID: 4, FencingToken: 1}},
-		{"exclude", jobstate.Command{Kind: jobstate.CommandExclude, TimeMS: 1006, Proposer: "n1.k3g", Worker: "w"}},
-		{"include", jobstate.Command{Kind: jobstate.CommandInclude, TimeMS: 1007, Proposer: "n1.k3g", Worker: "v"}},
-		{"pass", jobstate.Command{Kind: jobstate.CommandAdvanceTime, TimeMS: 2000, Proposer: "n1.k3g"}},
-		{"unrun", jobstate.Command{Kind: jobstate.CommandEnd, TimeMS: 2001, Proposer: "n0.k3f", ID: 9, FencingToken: 3, NotRun: true}},
-	}
-	for i, step := range steps {
+	for i, step := range jobCommands {
 		recorded := compatibility.Here.Check(t, "promises/"+step.name, step.command.Encode())
 		step.command.FormatVersion = 1
 		expectEqual(t, step.name, must(jobstate.Decode(recorded))(t), step.command)
