--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -31,7 +31,7 @@
 type Collectd struct {
 	outputBase
 	path    string
-	timeout float64
+	timeout float64 // seconds without an answer
 
 	conn          *eventloop.Conn
 	connected     bool
@@ -49,8 +49,8 @@
 
 // NewCollectd returns an output to the socket at path. timeout is the number of seconds without an answer after which
 // an attempt fails.
-func NewCollectd(path string, patience float64) *Collectd {
-	return &Collectd{path: path, timeout: patience}
+func NewCollectd(path string, timeout float64) *Collectd {
+	return &Collectd{path: path, timeout: timeout}
 }
 
 // Name implements Output.
@@ -59,8 +59,8 @@
 // Kind implements Output.
 func (o *Collectd) Kind() string { return "collectd" }
 
-func (o *Collectd) start(exporter *Exporter, place *telemetry.Cursor) {
-	o.init(exporter, place)
+func (o *Collectd) start(exporter *Exporter, cursor *telemetry.Cursor) {
+	o.init(exporter, cursor)
 	o.host = telemetry.SanitizeName(exporter.options.DispatcherName)
 }
 
@@ -86,13 +86,13 @@
 	if !o.canStart() || o.reader != nil || o.periodWritten {
 		return
 	}
-	p, n := o.exporter.periodFrom(o.cursor.Next())
-	if p == nil {
+	period, number := o.exporter.periodFrom(o.cursor.Next())
+	if period == nil {
 		return
 	}
-	o.period = p
-	o.reader = p.Read()
-	o.currentPeriod = n
+	o.period = period
+	o.reader = period.Read()
+	o.currentPeriod = number
 	o.progressAt = o.exporter.loop.Now()
 	if o.conn == nil {
 		o.conn = o.exporter.loop.ConnectUnix(o.path, o)
@@ -159,12 +159,12 @@
 	if !o.periodWritten || o.unanswered > 0 {
 		return
 	}
-	n, timestamp := o.currentPeriod, o.period.Timestamp
+	number, timestamp := o.currentPeriod, o.period.Timestamp
 	o.period = nil
 	o.periodWritten = false
 	o.retryDelay = 0
 	o.stats.Periods++
-	o.exporter.acknowledge(o, n, timestamp)
+	o.exporter.acknowledge(o, number, timestamp)
 	o.exporter.loop.Defer(o.wake)
 }
 
--- a/internal/dispatcher/exporter/collectd_network.go
+++ b/internal/dispatcher/exporter/collectd_network.go
@@ -63,7 +63,9 @@
 // Kind implements Output.
 func (o *CollectdNetwork) Kind() string { return "collectd" }
 
-func (o *CollectdNetwork) start(exporter *Exporter, place *telemetry.Cursor) { o.init(exporter, place) }
+func (o *CollectdNetwork) start(exporter *Exporter, cursor *telemetry.Cursor) {
+	o.init(exporter, cursor)
+}
 
 func (o *CollectdNetwork) stop() {
 	o.stopTimer()
@@ -86,8 +88,8 @@
 	if !o.canStart() || o.period != nil {
 		return
 	}
-	p, n := o.exporter.periodFrom(o.cursor.Next())
-	if p == nil {
+	period, number := o.exporter.periodFrom(o.cursor.Next())
+	if period == nil {
 		return
 	}
 	var err error
@@ -104,9 +106,9 @@
 			return
 		}
 	}
-	o.period = p
-	o.reader = p.Read()
-	o.currentPeriod = n
+	o.period = period
+	o.reader = period.Read()
+	o.currentPeriod = number
 	o.schedule(0, o.sendMore)
 }
 
@@ -189,12 +191,12 @@
 		o.attemptFailed(err)
 		return
 	}
-	n, timestamp := o.currentPeriod, o.period.Timestamp
+	number, timestamp := o.currentPeriod, o.period.Timestamp
 	o.period = nil
 	o.reader = nil
 	o.retryDelay = 0
 	o.stats.Periods++
-	o.exporter.acknowledge(o, n, timestamp)
+	o.exporter.acknowledge(o, number, timestamp)
 	o.wake()
 }
 
--- a/internal/dispatcher/exporter/exporter.go
+++ b/internal/dispatcher/exporter/exporter.go
@@ -23,6 +23,9 @@
 	valuesPerTurn = 15000 // encoded in one turn
 	nodesPerTurn  = 500   // whose gauges are gathered in one turn
 	pointsPerTurn = 300   // rendered in one turn, about 0.2 ms
+
+	// clockTolerance is the share of an interval by which a timer may fire before the end of the period.
+	clockTolerance = 1e-6
 )
 
 // Options configure an Exporter.
@@ -82,9 +85,9 @@
 		if o == old {
 			e.retireOutput(old)
 			e.outputs[i] = replacement
-			place := old.receiverCursor()
-			place.Name = replacement.Name()
-			replacement.start(e, place)
+			cursor := old.receiverCursor()
+			cursor.Name = replacement.Name()
+			replacement.start(e, cursor)
 			replacement.wake()
 		}
 	}
@@ -152,8 +155,8 @@
 func (e *Exporter) Running() bool { return e.running }
 
 // SetInterval changes the duration of periods in seconds, from the next one on.
-func (e *Exporter) SetInterval(every float64) {
-	e.options.Interval = math.Max(minInterval, every)
+func (e *Exporter) SetInterval(interval float64) {
+	e.options.Interval = math.Max(minInterval, interval)
 	if e.running {
 		e.timer.Stop()
 		e.scheduleClose()
@@ -163,8 +166,9 @@
 // scheduleClose schedules the end of the period at the next full multiple of the interval, so that all dispatchers
 // close at the same time.
 func (e *Exporter) scheduleClose() {
-	now, every := e.loop.Now(), e.options.Interval
-	e.timer = e.loop.At((math.Floor(now/every+1e-6)+1)*every, func() {
+	interval := e.options.Interval
+	end := (math.Floor(e.loop.Now()/interval+clockTolerance) + 1) * interval
+	e.timer = e.loop.At(end, func() {
 		e.ClosePeriod()
 		e.scheduleClose()
 	})
@@ -210,11 +214,11 @@
 	if e.encoding { // the encoding of the last period is late
 		e.addPeriod(e.set.EncodePeriod(math.MaxInt32))
 	}
-	least := int64(1000)
+	minStep := int64(1000) // milliseconds
 	if e.options.Interval < 1 {
-		least = 1
+		minStep = 1
 	}
-	e.lastTimestamp = max(e.options.WallClock().UnixMilli(), e.lastTimestamp+least)
+	e.lastTimestamp = max(e.options.WallClock().UnixMilli(), e.lastTimestamp+minStep)
 	e.ClosedPeriods++
 	e.set.FreezePeriod(e.lastTimestamp, e.options.Interval)
 	e.encoding = true
@@ -224,15 +228,17 @@
 func (e *Exporter) addPeriod(p *telemetry.Period) {
 	e.encoding = false
 	e.ring.Push(p)
-	n := e.ring.Newest()
+	number := e.ring.Newest()
 	if e.spool == nil {
-		e.deliverUpTo(n)
+		e.deliverUpTo(number)
 		return
 	}
 	// A total that a receiver has must not decrease when the next incarnation continues from an older one: the spool
 	// has it first.
-	e.spool.AppendPeriod(p, e.set.SlotAssignments(), func() { e.loop.Post(func() { e.deliverUpTo(n) }) })
-	e.loop.At(e.loop.Now()+maxDiskWait, func() { e.deliverUpTo(n) })
+	e.spool.AppendPeriod(p, e.set.SlotAssignments(), func() {
+		e.loop.Post(func() { e.deliverUpTo(number) })
+	})
+	e.loop.At(e.loop.Now()+maxDiskWait, func() { e.deliverUpTo(number) })
 }
 
 // deliverUpTo allows the delivery of periods up to number n.
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -68,8 +68,8 @@
 // Kind implements Output.
 func (g *Graphite) Kind() string { return "graphite" }
 
-func (g *Graphite) start(exporter *Exporter, place *telemetry.Cursor) {
-	g.init(exporter, place)
+func (g *Graphite) start(exporter *Exporter, cursor *telemetry.Cursor) {
+	g.init(exporter, cursor)
 	if g.options.Prefix != "" {
 		g.prefix = g.options.Prefix + "."
 	}
--- a/internal/dispatcher/exporter/output.go
+++ b/internal/dispatcher/exporter/output.go
@@ -15,7 +15,7 @@
 	Kind() string
 	// Stats returns the statistics since the start.
 	Stats() OutputStats
-	start(f *Exporter, place *telemetry.Cursor)
+	start(exporter *Exporter, cursor *telemetry.Cursor)
 	wake()
 	stop() // until the next wake
 	end()  // for good
@@ -58,12 +58,12 @@
 // end detaches the output from its exporter.
 func (s *outputBase) end() { s.exporter = nil }
 
-func (s *outputBase) init(exporter *Exporter, place *telemetry.Cursor) {
+func (s *outputBase) init(exporter *Exporter, cursor *telemetry.Cursor) {
 	s.exporter = exporter
-	s.cursor = place
+	s.cursor = cursor
 }
 
-// retryLater schedules one call of try after the backoff.
+// retryLater counts a failure and schedules one call of attempt after the backoff.
 func (s *outputBase) retryLater(attempt func()) {
 	s.stats.Failures++
 	s.retryDelay = min(max(initialRetryDelay, 2*s.retryDelay), maxRetryDelay)
@@ -87,12 +87,17 @@
 	}
 }
 
-// schedule replaces the timer by one call of do, wait seconds from now.
+// schedule replaces the timer by one call of run, wait seconds from now.
 func (s *outputBase) schedule(wait float64, run func()) {
 	s.timer.Stop()
 	s.timer = s.exporter.loop.At(s.exporter.loop.Now()+wait, run)
 }
 
 func (s OutputStats) plus(o OutputStats) OutputStats {
-	return OutputStats{s.Periods + o.Periods, s.Points + o.Points, s.Failures + o.Failures, s.RejectedPoints + o.RejectedPoints}
+	return OutputStats{
+		Periods:        s.Periods + o.Periods,
+		Points:         s.Points + o.Points,
+		Failures:       s.Failures + o.Failures,
+		RejectedPoints: s.RejectedPoints + o.RejectedPoints,
+	}
 }
--- a/internal/dispatcher/exporter/packet.go
+++ b/internal/dispatcher/exporter/packet.go
@@ -92,7 +92,7 @@
 
 // add adds a value; false, and nothing is added, if there is no room.
 func (p *packet) add(series telemetry.Series, timestamp int64, interval, value float64) bool {
-	was := len(p.buffer)
+	sizeBefore := len(p.buffer)
 	b := p.buffer
 	if !p.hasValues {
 		b = appendText(appendText(b, partHost, p.host), partPlugin, "cinderroad")
@@ -122,7 +122,7 @@
 		b = binary.LittleEndian.AppendUint64(append(b, valueGauge), math.Float64bits(value))
 	}
 	if len(b) > packetSize {
-		p.buffer = b[:was]
+		p.buffer = b[:sizeBefore]
 		return false
 	}
 	p.buffer = b
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -155,7 +155,8 @@
 	if len(body) < queryIDSize {
 		return errors.New("handover: short frame")
 	}
-	query, payload := binary.BigEndian.Uint64(body), body[queryIDSize:]
+	query := binary.BigEndian.Uint64(body)
+	payload := body[queryIDSize:]
 	if kind != Answer {
 		l.handler.HandleQuery(l, kind, payload, func(yes bool) {
 			reply := binary.BigEndian.AppendUint64(nil, query)
--- a/internal/dispatcher/linelog/file.go
+++ b/internal/dispatcher/linelog/file.go
@@ -70,23 +70,30 @@
 	if err != nil {
 		return err
 	}
-	if there, err := os.Stat(l.options.Path); err == nil && os.SameFile(mine, there) {
-		for i := l.options.KeepFiles; i > 0; i-- {
-			from := l.options.Path
-			if i > 1 {
-				from += "." + strconv.Itoa(i-1)
-			}
-			if err := os.Rename(from, l.options.Path+"."+strconv.Itoa(i)); err != nil && !errors.Is(err, os.ErrNotExist) {
-				return err
-			}
-		}
-		if l.options.KeepFiles == 0 {
-			if err := os.Remove(l.options.Path); err != nil {
-				return err
-			}
+	if current, err := os.Stat(l.options.Path); err == nil && os.SameFile(mine, current) {
+		if err := l.renameFiles(); err != nil {
+			return err
 		}
 	}
 	l.file.Close()
 	l.file = nil
 	return l.open()
 }
+
+// renameFiles frees the log's path: it renames the file and the rotated ones, or removes the file if none are kept.
+func (l *Log) renameFiles() error {
+	path := l.options.Path
+	if l.options.KeepFiles == 0 {
+		return os.Remove(path)
+	}
+	for i := l.options.KeepFiles; i > 0; i-- {
+		from := path
+		if i > 1 {
+			from += "." + strconv.Itoa(i-1)
+		}
+		if err := os.Rename(from, path+"."+strconv.Itoa(i)); err != nil && !errors.Is(err, os.ErrNotExist) {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/dispatcher/linelog/linelog.go
+++ b/internal/dispatcher/linelog/linelog.go
@@ -54,7 +54,12 @@
 	if o.Report == nil {
 		o.Report = func(error) {}
 	}
-	l := &Log{options: o, queue: make(chan []byte, queueLength), freeBuffers: make(chan []byte, queueLength+1), done: make(chan struct{})}
+	l := &Log{
+		options:     o,
+		queue:       make(chan []byte, queueLength),
+		freeBuffers: make(chan []byte, queueLength+1),
+		done:        make(chan struct{}),
+	}
 	if err := l.open(); err != nil {
 		return nil, fmt.Errorf("%s: %w", o.Name, err)
 	}
--- a/internal/dispatcher/spool/record.go
+++ b/internal/dispatcher/spool/record.go
@@ -10,7 +10,9 @@
 
 const (
 	magic          = "CRSPOOL1"
-	recordOverhead = 4 + 1 + 8 // length, kind and checksum
+	lengthSize     = 4              // bytes of a record's length, before its kind
+	headSize       = lengthSize + 1 // bytes before a record's body
+	recordOverhead = headSize + 8   // the checksum included
 	maxBodyBytes   = 64 << 20
 	periodHeader   = 8 + 8 // bytes before a period's values: timestamp, and interval in milliseconds
 )
@@ -52,8 +54,9 @@
 	if size > maxBodyBytes || len(b) < recordOverhead+size {
 		return 0, nil, 0
 	}
-	if xxhash.Sum64(b[4:5+size]) != binary.BigEndian.Uint64(b[5+size:]) {
+	end := headSize + size
+	if xxhash.Sum64(b[lengthSize:end]) != binary.BigEndian.Uint64(b[end:]) {
 		return 0, nil, 0
 	}
-	return b[4], b[5 : 5+size], recordOverhead + size
+	return b[lengthSize], b[headSize:end], recordOverhead + size
 }
--- a/internal/dispatcher/spool/recovery.go
+++ b/internal/dispatcher/spool/recovery.go
@@ -22,7 +22,7 @@
 
 // recoverFiles reads the spool's files, oldest first, up to a limit derived from maxBytes. It returns the number of
 // the last file, too.
-func recoverFiles(dir, name string, most int64) (recovered *Recovered, last int, err error) {
+func recoverFiles(dir, name string, maxBytes int64) (recovered *Recovered, lastFile int, err error) {
 	recovered = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
 	files, err := listFiles(dir, name)
 	if err != nil {
@@ -30,9 +30,9 @@
 	}
 	total := int64(0)
 	for i, file := range files {
-		last = file.number
+		lastFile = file.number
 		total += file.size
-		if total > 2*most+maxBodyBytes {
+		if total > 2*maxBytes+maxBodyBytes {
 			break
 		}
 		text, err := os.ReadFile(file.path)
@@ -62,7 +62,7 @@
 		recovered.Periods = recovered.Periods[:len(recovered.Periods)-1]
 		recovered.Totals = map[string]float64{}
 	}
-	return recovered, last, nil
+	return recovered, lastFile, nil
 }
 
 // readRecords reads the records of a file; false if it ends in a damaged one.
--- a/internal/dispatcher/telemetry/histogram.go
+++ b/internal/dispatcher/telemetry/histogram.go
@@ -15,7 +15,13 @@
 var quantiles = [...]struct {
 	name    string
 	percent float64
-}{{"p50", 50}, {"p90", 90}, {"p99", 99}, {"p99_9", 99.9}, {"max", 100}}
+}{
+	{"p50", 50},
+	{"p90", 90},
+	{"p99", 99},
+	{"p99_9", 99.9},
+	{"max", 100},
+}
 
 // histogram is the latency distribution of the open period.
 type histogram struct {
@@ -34,17 +40,17 @@
 
 // writeQuantiles writes the quantiles in milliseconds and resets the histogram.
 func (h *histogram) writeQuantiles(values []float64) {
-	some := h.values.TotalCount() > 0
+	hasValues := h.values.TotalCount() > 0
 	for i, q := range quantiles {
 		values[h.firstSeries+i] = noValue
 		switch {
-		case some && q.percent == 100:
+		case hasValues && q.percent == 100:
 			values[h.firstSeries+i] = float64(h.values.Max()) / 1e3
-		case some:
+		case hasValues:
 			values[h.firstSeries+i] = float64(h.values.ValueAtQuantile(q.percent)) / 1e3
 		}
 	}
-	if some {
+	if hasValues {
 		h.values.Reset()
 	}
 }
--- a/internal/dispatcher/telemetry/ring.go
+++ b/internal/dispatcher/telemetry/ring.go
@@ -43,8 +43,8 @@
 	r.periods = append(r.periods, p)
 	r.bytes += len(p.EncodedValues)
 	for r.bytes > r.maxBytes && len(r.periods) > 1 {
-		for _, place := range r.cursors {
-			if place.next <= r.oldest {
+		for _, cursor := range r.cursors {
+			if cursor.next <= r.oldest {
 				r.Dropped++
 				break
 			}
@@ -63,11 +63,11 @@
 
 // dropDelivered drops the periods that all receivers have.
 func (r *Ring) dropDelivered() {
-	least := r.oldest + uint64(len(r.periods))
-	for _, p := range r.cursors {
-		least = min(least, max(p.next, r.oldest))
+	firstNeeded := r.oldest + uint64(len(r.periods))
+	for _, cursor := range r.cursors {
+		firstNeeded = min(firstNeeded, max(cursor.next, r.oldest))
 	}
-	for r.oldest < least {
+	for r.oldest < firstNeeded {
 		r.dropOldest()
 	}
 }
@@ -97,8 +97,12 @@
 
 // SkipTo records that a receiver has all periods up to a timestamp, delivered by an earlier incarnation.
 func (r *Ring) SkipTo(p *Cursor, timestamp int64) {
-	for period, n := r.PeriodFrom(p.next); period != nil && period.Timestamp <= timestamp; period, n = r.PeriodFrom(p.next) {
-		r.Acknowledge(p, n)
+	for {
+		period, number := r.PeriodFrom(p.next)
+		if period == nil || period.Timestamp > timestamp {
+			return
+		}
+		r.Acknowledge(p, number)
 	}
 }
 
