--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -58,7 +58,7 @@
 	}
 	loop.ZeroCopyReads = true
 	loop.LateWakeupSeconds = lateWakeupSeconds
-	loop.OnLateWakeup = func(late float64) { log.Info("the process was held up", zap.Float64("seconds", late)) }
+	loop.OnLateWakeup = func(late float64) { log.Info("process was paused", zap.Float64("late_s", late)) }
 	dataPlane, err := newProxy(loop, log, settings, program.MetricsAddress(settings.IP))
 	if err != nil {
 		return err
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -180,7 +180,7 @@
 
 // stop announces the shutdown, serves the proxy until it has disconnected, and leaves.
 func (a *Agent) stop() {
-	a.log.Info("stopping")
+	a.log.Info("received stop signal, shutting down")
 	a.stoppingSince.Store(int64(a.now()))
 	a.proxyMonitor.markStopping()
 	maxStopTime := shutdown.Plan(a.settings.Timing.GracePeriod).AgentEnd
--- a/internal/system/agent/follower.go
+++ b/internal/system/agent/follower.go
@@ -67,7 +67,7 @@
 		err = unpackBatches(reply)
 	}
 	if err != nil {
-		f.log.Debug("control replica gave no answer", zap.Stringer("address", request.Address), zap.Error(err))
+		f.log.Debug("feed request to control replica failed", zap.Stringer("address", request.Address), zap.Error(err))
 		f.disconnect()
 		f.selector.HandleFailure(f.now(), request.Address)
 		return
@@ -122,12 +122,12 @@
 
 func (f *follower) logState() {
 	if address, follows := f.selector.Followed(); follows {
-		f.log.Info("feed followed", zap.Stringer("from", address), zap.Stringer("partitions", f.current))
+		f.log.Info("following feed of control replica", zap.Stringer("address", address), zap.Stringer("partitions", f.current))
 		return
 	}
 	if f.state == upstream.CutOff {
-		f.log.Warn("no control replica is up to date; all that is known is served on")
+		f.log.Warn("no control replica is up to date, serving last known state")
 		return
 	}
-	f.log.Info("feed lost, looking for another control replica")
+	f.log.Info("feed lost, selecting another control replica")
 }
--- a/internal/system/agent/membership.go
+++ b/internal/system/agent/membership.go
@@ -84,5 +84,5 @@
 	if member := a.member.Load(); member != nil {
 		member.Leave()
 	}
-	a.log.Info("left")
+	a.log.Info("left membership")
 }
--- a/internal/system/agent/platformpoller.go
+++ b/internal/system/agent/platformpoller.go
@@ -62,7 +62,7 @@
 	if after == before {
 		return
 	}
-	p.log.Info("platform's list", zap.Stringer("is", after), zap.Stringer("partitions", cutOff))
+	p.log.Info("runner list polling changed", zap.Stringer("state", after), zap.Stringer("partitions", cutOff))
 	select {
 	case p.changed <- struct{}{}:
 	default:
@@ -128,7 +128,7 @@
 	if errors.As(err, &limited) {
 		retryAfter = limited.RetryAfter
 	}
-	p.log.Debug("platform's list not answered", zap.Error(err))
+	p.log.Debug("runner list request failed", zap.Error(err))
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.poller.HandleFailure(p.now(), retryAfter, p.pace())
--- a/internal/system/agent/proxymonitor.go
+++ b/internal/system/agent/proxymonitor.go
@@ -123,7 +123,7 @@
 	state := p.tracker.State()
 	if state != p.published {
 		p.published = state
-		p.log.Info("proxy", zap.Stringer("is", state))
+		p.log.Info("proxy state changed", zap.Stringer("state", state))
 	}
 	if wait, due := p.tracker.NextTick(p.now()); due {
 		p.timer.Reset(wait)
--- a/internal/system/control/api/api.go
+++ b/internal/system/control/api/api.go
@@ -147,8 +147,8 @@
 		apiErr = unavailableError(err.Error())
 	}
 	if apiErr.status == http.StatusBadRequest || apiErr.status == http.StatusServiceUnavailable {
-		a.options.Log.Info("call refused", zap.Int("status", apiErr.status), zap.String("cause", apiErr.message),
-			zap.Int("findings", len(apiErr.problems)))
+		a.options.Log.Info("request rejected", zap.Int("status", apiErr.status), zap.String("cause", apiErr.message),
+			zap.Int("problems", len(apiErr.problems)))
 	}
 	apiErr.write(w)
 }
--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -150,7 +150,7 @@
 		Address:   settings.CloudAPI.Address,
 		AllowCall: func() error { return runnersync.CheckLease(p.host, len(partitions)) },
 		OnSkippedEntries: func(err *discovery.SkippedEntriesError) {
-			p.log.Warn("entries of the list of runners make no sense", zap.Error(err))
+			p.log.Warn("invalid entries of the runner list ignored", zap.Error(err))
 		},
 	})
 	p.runnerSync = runnersync.New(runnersync.Options{
@@ -179,7 +179,7 @@
 	}
 	settings, err := processconfig.Load()
 	if err != nil {
-		p.log.Warn("changed settings can't be read, the earlier ones stay", zap.Error(err))
+		p.log.Warn("settings reload failed, keeping previous settings", zap.Error(err))
 		return false
 	}
 	p.Reload(settings)
--- a/internal/system/control/runnersync/ownership.go
+++ b/internal/system/control/runnersync/ownership.go
@@ -74,7 +74,7 @@
 	for i := range s.stale {
 		s.stale[i] = true
 	}
-	s.options.Log.Info("discovery taken up", zap.Stringer("partitions", owned))
+	s.options.Log.Info("discovery role acquired", zap.Stringer("partitions", owned))
 }
 
 // release ends the ownership of all partitions.
@@ -84,5 +84,5 @@
 	}
 	s.owned = 0
 	s.progress.release()
-	s.options.Log.Info("discovery given up")
+	s.options.Log.Info("discovery role released")
 }
--- a/internal/system/control/runnersync/sync.go
+++ b/internal/system/control/runnersync/sync.go
@@ -89,7 +89,7 @@
 		equal, err := s.proposeDiff(ctx, index, listed)
 		if err != nil {
 			s.stale[index] = true
-			s.options.Log.Debug("change of runners was not agreed on", zap.Int("partition", index+1), zap.Error(err))
+			s.options.Log.Debug("runner change not committed", zap.Int("partition", index+1), zap.Error(err))
 			return
 		}
 		if equal {
--- a/internal/system/control/runnersync/syncer.go
+++ b/internal/system/control/runnersync/syncer.go
@@ -142,7 +142,7 @@
 	s.progress.recordList(s.options.Now())
 	if s.failing {
 		s.failing = false
-		s.options.Log.Info("list of runners is answered again")
+		s.options.Log.Info("runner list available again")
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	if !s.failing {
 		s.failing = true
-		s.options.Log.Warn("list of runners is not answered, what is known is kept", zap.Error(err))
+		s.options.Log.Warn("runner list request failed, keeping last known runners", zap.Error(err))
 	}
 	s.backoff = min(maxBackoff, max(minPollInterval, s.backoff*2))
 	return s.backoff
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -48,7 +48,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	p.log.Info("stopping")
+	p.log.Info("received stop signal, shutting down")
 	p.stop(plan)
 	p.log.Info("stopped")
 	return nil
@@ -65,7 +65,7 @@
 	p.host.Leave()
 	retry.Sleep(ctx, plan.announce)
 	if err := p.closeServers(plan.drain); err != nil {
-		p.log.Warn("calls were broken off", zap.Error(err))
+		p.log.Warn("open API requests aborted at shutdown", zap.Error(err))
 	}
 	p.host.Stop(ctx)
 	p.cancel()
--- a/internal/system/exposition/serve.go
+++ b/internal/system/exposition/serve.go
@@ -27,7 +27,7 @@
 	}
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
-		log.Warn("figures are not served, check that no other process holds their port", zap.Error(err))
+		log.Warn("cannot serve metrics; check that no other process holds the port", zap.Error(err))
 		return
 	}
 	server := &http.Server{
@@ -38,7 +38,7 @@
 	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			log.Warn("figures are not served any more", zap.Error(err))
+			log.Warn("metrics server failed", zap.Error(err))
 		}
 	}()
 	context.AfterFunc(ctx, func() { server.Close() })
--- a/internal/system/gossip/memberlist.go
+++ b/internal/system/gossip/memberlist.go
@@ -189,7 +189,7 @@
 // handlePause notifies the node that the process was paused, so that deadlines that passed meanwhile do not count against
 // other members.
 func (l *Memberlist) handlePause(now float64) {
-	l.log.Warn("process stood still, membership is checked again", zap.Float64("late_s", now-l.node.NextTick()))
+	l.log.Warn("process was paused, verifying membership again", zap.Float64("late_s", now-l.node.NextTick()))
 	l.node.HandlePause(now)
 }
 
@@ -234,10 +234,10 @@
 	if l.options.Role == Control && roleOf(change.Name) == Control {
 		level = zap.InfoLevel
 	}
-	l.log.Log(level, "member changed",
+	l.log.Log(level, "member state changed",
 		zap.String("member", change.Name),
-		zap.Stringer("was", change.From),
-		zap.Stringer("is", change.To),
+		zap.Stringer("from", change.From),
+		zap.Stringer("to", change.To),
 		zap.String("cause", change.Cause),
 	)
 }
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -93,7 +93,7 @@
 		}
 		reply, err := followCall.LongPoll(ctx, c.client, maxFollowWait, request)
 		if err != nil {
-			c.log.Debug("agent gave no feed", zap.Error(err))
+			c.log.Debug("feed request to agent failed", zap.Error(err))
 			retry.Sleep(ctx, pause)
 			pause = min(2*pause, maxRetryBackoff)
 			continue
@@ -109,7 +109,7 @@
 // logProblems logs the items that could not be decoded.
 func (c *Client) logProblems(state *feedState) {
 	for _, problem := range state.problems {
-		c.log.Warn("feed: item cannot be read, the one before it stays", zap.String("key", problem.key),
+		c.log.Warn("cannot decode feed item, keeping the previous one", zap.String("key", problem.key),
 			zap.Error(problem.err))
 	}
 	state.problems = nil
@@ -154,7 +154,7 @@
 	c.pendingSnapshot = nil
 	c.mutex.Unlock()
 	if _, err := reportCall.Invoke(ctx, c.client, &report); err != nil {
-		c.log.Debug("agent took no report", zap.Error(err))
+		c.log.Debug("status report to agent failed", zap.Error(err))
 		c.requeueSnapshot(report.Learnt)
 	}
 }
--- a/internal/system/proxy/control_state.go
+++ b/internal/system/proxy/control_state.go
@@ -76,7 +76,7 @@
 	p.markRunnersKnown(update.Complete)
 	if update.Version != p.control.version {
 		p.control.version = update.Version
-		p.log.Info("configuration in force", zap.Uint64("version", update.Version), zap.Int("routes", p.control.table.Len()))
+		p.log.Info("configuration applied", zap.Uint64("version", update.Version), zap.Int("routes", p.control.table.Len()))
 	}
 }
 
@@ -135,7 +135,7 @@
 // RestoreSnapshot loads what a previous incarnation of the proxy had learned.
 func (p *Proxy) RestoreSnapshot(snapshot []byte) {
 	if err := p.placer.Restore(p.now(), snapshot); err != nil {
-		p.log.Warn("what the proxy had learnt cannot be read", zap.Error(err))
+		p.log.Warn("cannot decode placement snapshot, starting without it", zap.Error(err))
 	}
 }
 
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -20,13 +20,13 @@
 
 // logRejection logs why the placer chose no runner.
 func (x *exchange) logRejection(rejection *placement.Rejection) {
-	if entry := x.proxy.log.Check(zap.DebugLevel, "refused"); entry != nil {
+	if entry := x.proxy.log.Check(zap.DebugLevel, "request rejected"); entry != nil {
 		entry.Write(
 			zap.String("try", x.tryID),
 			zap.String("route", x.request.Route.Name),
 			zap.String("reason", rejection.Reason),
 			zap.Duration("retry_after", rejection.RetryAfter),
-			zap.Strings("tried", x.request.TriedRunners),
+			zap.Strings("tried_runners", x.request.TriedRunners),
 		)
 	}
 }
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -55,7 +55,7 @@
 	}
 	socket, err := n.proxy.loop.ListenUDP(address, n.handleDatagram)
 	if err != nil {
-		n.proxy.log.Warn("other proxies are not heard, check that no other process holds the port", zap.Error(err))
+		n.proxy.log.Warn("cannot listen for notices of other proxies; check that no other process holds the port", zap.Error(err))
 		return
 	}
 	n.socket = socket
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -133,7 +133,7 @@
 func (p *Proxy) listenMetrics() {
 	var err error
 	if p.metricsEndpoint, err = p.listenMonitor(p.options.MetricsAddr, exposition.Path, p.metricsResponse); err != nil {
-		p.log.Warn("figures are not served, check that no other process holds their port", zap.Error(err))
+		p.log.Warn("cannot serve metrics; check that no other process holds the port", zap.Error(err))
 	}
 }
 
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -38,12 +38,12 @@
 	}
 	p.shutdown.active = true
 	p.shutdown.signalAt = p.now()
-	p.log.Info("told to stop",
-		zap.Int("exchanges", p.openExchanges),
-		zap.Int("sessions", p.sessions.count),
+	p.log.Info("received stop signal, shutting down",
+		zap.Int("open_requests", p.openExchanges),
+		zap.Int("client_connections", p.sessions.count),
 		zap.Uint64("requests", p.Counters.Requests),
 		zap.Uint64("served", p.Counters.Served),
-		zap.Uint64("refused", p.Counters.Rejected),
+		zap.Uint64("rejected", p.Counters.Rejected),
 		zap.Uint64("failed", p.Counters.Failed))
 	p.reportToAgent(p.placer.Snapshot())
 	now := p.now()
@@ -106,24 +106,24 @@
 		zap.String("try", x.tryID),
 		zap.Bool("answered", x.response.started),
 		zap.Bool("may_have_run", x.request.MayHaveRun),
-		zap.Duration("came_after_signal", x.request.ArrivedAt-signalAt),
-		zap.Duration("time_left", x.request.Deadline-p.now()),
-		zap.Int("request_of_connection", session.requestCount),
+		zap.Duration("arrived_after_signal", x.request.ArrivedAt-signalAt),
+		zap.Duration("time_to_deadline", x.request.Deadline-p.now()),
+		zap.Int("request_number_on_connection", session.requestCount),
 		zap.Duration("connected_after_signal", session.acceptedAt-signalAt),
 	}
 	if x.request.Route != nil {
 		fields = append(fields, zap.String("route", x.request.Route.Name))
 	}
-	p.log.Warn("request cut by the end of the process", fields...)
+	p.log.Warn("request aborted at exit", fields...)
 }
 
 func (p *Proxy) logStopped() {
 	p.log.Info("stopped",
 		zap.Duration("after_signal", p.shutdown.elapsed(p.now())),
-		zap.Uint64("cut", p.Counters.ShutdownCut),
-		zap.Uint64("turned_away", p.Counters.ShutdownRejected),
+		zap.Uint64("aborted", p.Counters.ShutdownCut),
+		zap.Uint64("rejected", p.Counters.ShutdownRejected),
 		zap.Uint64("on_new_connections", p.Counters.ShutdownOnNewConns),
-		zap.Uint64("on_kept_connections", p.Counters.ShutdownOnReusedConns))
+		zap.Uint64("on_reused_connections", p.Counters.ShutdownOnReusedConns))
 }
 
 // sweepIdleSessions closes idle sessions, repeatedly.
--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -125,10 +125,10 @@
 	wasDown := h.disk.leadershipReleased
 	fault, stepDown := h.disk.checkHealth(now, 2*h.options.ElectionTimeout)
 	if wasDown && fault == nil {
-		h.log.Info("disk works again")
+		h.log.Info("disk recovered")
 	}
 	if !wasDown && fault != nil {
-		h.log.Error("disk in trouble", zap.Error(fault))
+		h.log.Error("disk failure", zap.Error(fault))
 	}
 	if stepDown {
 		h.releaseLeadership()
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -227,7 +227,7 @@
 	}
 	if g.isLeader != ledBefore {
 		g.leadershipSince = h.now()
-		h.log.Info("leadership changed", zap.Uint16("partition", uint16(g.partition)), zap.Bool("leads", g.isLeader),
+		h.log.Info("leadership changed", zap.Uint16("partition", uint16(g.partition)), zap.Bool("leader", g.isLeader),
 			zap.Uint64("term", g.node.Status().Term))
 	}
 }
--- a/internal/system/replica/membership.go
+++ b/internal/system/replica/membership.go
@@ -72,10 +72,10 @@
 	}
 	if err := g.node.ChangeMembership(now, next.membership); err != nil {
 		g.delayPromotion(now, err)
-		h.log.Debug("membership not changed", zap.Uint16("partition", uint16(g.partition)), zap.Error(err))
+		h.log.Debug("membership change postponed", zap.Uint16("partition", uint16(g.partition)), zap.Error(err))
 		return true
 	}
-	h.log.Info("membership changes", zap.Uint16("partition", uint16(g.partition)),
+	h.log.Info("membership change proposed", zap.Uint16("partition", uint16(g.partition)),
 		zap.Stringer("from", memberList(status.Membership.Members)), zap.Stringer("to", memberList(next.membership.Members)))
 	return true
 }
--- a/internal/system/replica/store.go
+++ b/internal/system/replica/store.go
@@ -48,7 +48,7 @@
 			h.failFromDiskWriter(err)
 			return false
 		}
-		h.log.Error("state folder not opened", zap.Error(err))
+		h.log.Error("cannot open state folder", zap.Error(err))
 		if !h.waitDiskBackoff(&backoff) {
 			return false
 		}
@@ -84,7 +84,7 @@
 	}
 	if corrupt != nil {
 		h.storeCorrupted = true
-		h.log.Error("state folder was corrupt", zap.Error(corrupt))
+		h.log.Error("corrupt state folder quarantined", zap.Error(corrupt))
 	}
 	h.disk.store = opened
 	h.storeCorrupted = h.storeCorrupted || opened.HasPredecessor()
--- a/internal/system/startup/serve.go
+++ b/internal/system/startup/serve.go
@@ -44,10 +44,10 @@
 	for range changes {
 		settings, err := processconfig.Load()
 		if err != nil {
-			log.Warn("changed settings can't be read, the earlier ones stay", zap.Error(err))
+			log.Warn("settings reload failed, keeping previous settings", zap.Error(err))
 			continue
 		}
 		process.Reload(settings)
-		log.Info("settings read again")
+		log.Info("settings reloaded")
 	}
 }
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -96,7 +96,7 @@
 // Exit ends the process: with status 1 after logging err, or with status 0 if err is nil.
 func Exit(log *zap.Logger, err error) {
 	if err != nil {
-		log.Error("ended", zap.Error(err))
+		log.Error("exiting on error", zap.Error(err))
 		os.Exit(1)
 	}
 	os.Exit(0)
