--- a/internal/shared/eventloop/iteration_stats.go
+++ b/internal/shared/eventloop/iteration_stats.go
@@ -13,9 +13,9 @@
 	return stats
 }
 
-// endIteration records the duration of an iteration.
-func (l *Loop) endIteration() {
-	began := l.now
+// endIteration records the duration of an iteration, which began at a time of the loop's clock: Now may have advanced
+// since, with a datagram.
+func (l *Loop) endIteration(began float64) {
 	l.updateTime()
 	l.iterations.Count++
 	l.iterations.Longest = max(l.iterations.Longest, l.now-began)
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -161,7 +161,7 @@
 		l.dispatchAll(events[:n])
 		l.runDue(l.now)
 		l.runDeferred()
-		l.endIteration()
+		l.endIteration(began)
 	}
 	return nil
 }
--- a/internal/shared/eventloop/udp_socket_test.go
+++ b/internal/shared/eventloop/udp_socket_test.go
@@ -86,3 +86,38 @@
 		t.Errorf("the datagrams were received at %v: the second one was sent %v after the first", received, handlingTime)
 	}
 }
+
+// The duration of an iteration includes the handling of all datagrams in it, although Now advances with each of them.
+func TestLongestIterationIncludesAllDatagrams(t *testing.T) {
+	const handlingTime = 20 * time.Millisecond
+	const count = 5
+	loop := newLoop(t, 10)
+	var socket *UDPSocket
+	received := 0
+	socket, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), func([]byte) {
+		time.Sleep(handlingTime)
+		received++
+		if received == count {
+			loop.Stop()
+			return
+		}
+		if err := socket.SendTo(socket.Addr(), nil); err != nil { // it is received within this iteration
+			t.Error(err)
+			loop.Stop()
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop.Defer(func() {
+		if err := socket.SendTo(socket.Addr(), nil); err != nil {
+			t.Error(err)
+		}
+	})
+	if err := loop.Run(); err != nil {
+		t.Fatal(err)
+	}
+	if longest := loop.TakeIterationStats().Longest; longest < count*handlingTime.Seconds() {
+		t.Errorf("the longest iteration took %.3f s, and the handling of its datagrams %v", longest, count*handlingTime)
+	}
+}
