--- a/internal/dispatcher/cluster/jobstate/state_test.go
+++ b/internal/dispatcher/cluster/jobstate/state_test.go
@@ -186,63 +186,34 @@
 func TestSubmitEnforcesLimits(t *testing.T) {
 	state := New(testLimits)
 	data := make([]byte, 3000)
-	var full *StateFullError
-	index := uint64(0)
-	submit := func(index uint64) error {
-		key := fmt.Sprint(index)
-		return applyCommand(t, state, index+1, Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: "a", Key: key, Data: data}).Err
+	submit := func(index uint64, tenant, key string, data []byte) error {
+		command := Command{Kind: CommandSubmit, TimeMS: 1000, Tenant: tenant, Key: key, Data: data}
+		return applyCommand(t, state, index, command).Err
 	}
-	for !errors.As(submit(index), &full) {
-		index++
+	var full *StateFullError
+	for index := uint64(0); !errors.As(submit(index+1, "a", fmt.Sprint(index), data), &full); index++ {
 	}
 	if full.Tenant != "a" || full.RetryMS <= 0 {
 		t.Errorf("%+v", full)
 	}
-	result := applyCommand(t, state, 100, Command{
-		Kind:   CommandSubmit,
-		TimeMS: 1000,
-		Tenant: "b",
-		Key:    "b",
-		Data:   data,
-	})
-	if result.Err != nil {
-		t.Errorf("another tenant: %v", result.Err)
+	if err := submit(100, "b", "b", data); err != nil {
+		t.Errorf("another tenant: %v", err)
 	}
 	applyCommand(t, state, 101, Command{Kind: CommandSend, TimeMS: 1000, Proposer: "m", ID: 1})
 	applyCommand(t, state, 102, Command{Kind: CommandEnd, TimeMS: 1000, Proposer: "m", ID: 1, FencingToken: 1})
-	result = applyCommand(t, state, 103, Command{
-		Kind:   CommandSubmit,
-		TimeMS: 1000,
-		Tenant: "a",
-		Key:    "again",
-		Data:   data,
-	})
-	if result.Err != nil {
-		t.Errorf("after an ended job has freed its data: %v", result.Err)
+	if err := submit(103, "a", "again", data); err != nil {
+		t.Errorf("after an ended job has freed its data: %v", err)
 	}
 	applyCommand(t, state, 104, Command{Kind: CommandAdvanceTime, TimeMS: 1000 + testLimits.ResultRetentionMS})
 	if state.Job(1) != nil {
 		t.Error("the result is retained for too long")
 	}
 	var tooLarge *JobTooLargeError
-	err := applyCommand(t, state, 105, Command{
-		Kind:   CommandSubmit,
-		TimeMS: 1000,
-		Tenant: "b",
-		Data:   make([]byte, 5000),
-	}).Err
-	if !errors.As(err, &tooLarge) {
+	if err := submit(105, "b", "", make([]byte, 5000)); !errors.As(err, &tooLarge) {
 		t.Errorf("job over the limit: %v", err)
 	}
 	var conflict *KeyConflictError
-	err = applyCommand(t, state, 106, Command{
-		Kind:   CommandSubmit,
-		TimeMS: 1000,
-		Tenant: "b",
-		Key:    "b",
-		Data:   []byte("other"),
-	}).Err
-	if !errors.As(err, &conflict) {
+	if err := submit(106, "b", "b", []byte("other")); !errors.As(err, &conflict) {
 		t.Errorf("key of another job: %v", err)
 	}
 }
--- a/internal/dispatcher/cluster/versions/table_test.go
+++ b/internal/dispatcher/cluster/versions/table_test.go
@@ -225,7 +225,6 @@
 // TestArbitraryPayloads plays random lists and payloads: only workers of the own list are restricted, only by newer
 // versions of its own epoch, and all state is bounded.
 func TestArbitraryPayloads(t *testing.T) {
-	names := []string{"u", "v", "w", "x", "y", "z"}
 	rapid.Check(t, func(t *rapid.T) {
 		table := New("me")
 		changed := 0
@@ -236,14 +235,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				rev += int64(rapid.IntRange(-2, 4).Draw(t, "rev"))
-				var list []Entry
-				for range rapid.IntRange(0, 4).Draw(t, "entries") {
-					list = append(list, Entry{
-						Worker: rapid.SampledFrom(names).Draw(t, "worker"),
-						State:  State(rapid.IntRange(0, 2).Draw(t, "state")),
-						Start:  int64(rapid.IntRange(0, 2).Draw(t, "start")),
-					})
-				}
+				list := drawEntries(t)
 				table.ApplyList(now, src, max(rev, 0), rapid.Bool().Draw(t, "cached"), list)
 			case 1:
 				table.Tick(now)
@@ -251,24 +243,9 @@
 			case 2:
 				table.Payload(now, 300)
 			default:
-				r := &payload{
-					Version: Version{
-						Source:   src,
-						Epoch:    uint64(rapid.IntRange(0, 2).Draw(t, "descent")),
-						Revision: int64(rapid.IntRange(0, 12).Draw(t, "peer's rev")),
-					},
-					Request: rapid.Bool().Draw(t, "asks"),
-				}
-				for range rapid.IntRange(0, 5).Draw(t, "facts") {
-					r.Facts = append(r.Facts, Fact{
-						Worker:   rapid.SampledFrom(names).Draw(t, "worker"),
-						State:    State(rapid.IntRange(0, 2).Draw(t, "state")),
-						Start:    int64(rapid.IntRange(0, 3).Draw(t, "start")),
-						Revision: int64(rapid.IntRange(0, 12).Draw(t, "fact's rev")),
-					})
-				}
+				msg := drawPayload(t)
 				from := rapid.SampledFrom([]string{"p", "q"}).Draw(t, "from")
-				for _, answer := range table.HandlePayload(now, from, table.encodePayload(r)) {
+				for _, answer := range table.HandlePayload(now, from, table.encodePayload(msg)) {
 					if len(answer) > 1100 {
 						t.Fatalf("an answer of %d bytes", len(answer))
 					}
@@ -287,6 +264,41 @@
 	})
 }
 
+var drawnWorkers = []string{"u", "v", "w", "x", "y", "z"}
+
+// drawEntries draws entries of an own list.
+func drawEntries(t *rapid.T) (list []Entry) {
+	for range rapid.IntRange(0, 4).Draw(t, "entries") {
+		list = append(list, Entry{
+			Worker: rapid.SampledFrom(drawnWorkers).Draw(t, "worker"),
+			State:  State(rapid.IntRange(0, 2).Draw(t, "state")),
+			Start:  int64(rapid.IntRange(0, 2).Draw(t, "start")),
+		})
+	}
+	return list
+}
+
+// drawPayload draws a peer's payload.
+func drawPayload(t *rapid.T) *payload {
+	msg := &payload{
+		Version: Version{
+			Source:   src,
+			Epoch:    uint64(rapid.IntRange(0, 2).Draw(t, "descent")),
+			Revision: int64(rapid.IntRange(0, 12).Draw(t, "peer's rev")),
+		},
+		Request: rapid.Bool().Draw(t, "asks"),
+	}
+	for range rapid.IntRange(0, 5).Draw(t, "facts") {
+		msg.Facts = append(msg.Facts, Fact{
+			Worker:   rapid.SampledFrom(drawnWorkers).Draw(t, "worker"),
+			State:    State(rapid.IntRange(0, 2).Draw(t, "state")),
+			Start:    int64(rapid.IntRange(0, 3).Draw(t, "start")),
+			Revision: int64(rapid.IntRange(0, 12).Draw(t, "fact's rev")),
+		})
+	}
+	return msg
+}
+
 // FuzzHandlePayload checks that no payload causes a panic or a malformed reply.
 func FuzzHandlePayload(f *testing.F) {
 	a := newTestTable("a", 5, "x")
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -308,7 +308,8 @@
 	c.disk = c.set.ClosePeriod(c.stamp, 1)
 	c.held = c.set.SlotAssignments()
 	c.ring.Push(c.disk)
-	c.closedAnswers, c.openAnswers = c.closedAnswers+c.openAnswers, 0
+	c.closedAnswers += c.openAnswers
+	c.openAnswers = 0
 }
 
 // deliver delivers up to n periods to a reachable receiver; if broken, the last one isn't acknowledged.
@@ -337,6 +338,58 @@
 	}
 }
 
+// answer observes a drawn answer.
+func (c *lifecycle) answer(t *rapid.T) {
+	verdict := rapid.SampledFrom([]dispatch.Verdict{
+		dispatch.Served,
+		dispatch.Rejected,
+		dispatch.Failed,
+		dispatch.Disconnected,
+		dispatch.Requeued,
+	}).Draw(t, "verdict")
+	c.set.ObserveAnswer(&dispatch.AnswerRecord{
+		Verdict:        verdict,
+		AnsweredAt:     1,
+		TargetAt:       rapid.Float64Range(0, 2).Draw(t, "aim"),
+		WinningAttempt: -1,
+	})
+	c.openAnswers++
+}
+
+// rename has a node of another name take the place of the last one renamed.
+func (c *lifecycle) rename() {
+	c.renames++
+	c.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{
+		member("stays", 1, 0, loadbalancer.Ready),
+		member(fmt.Sprint("n", c.renames), loadbalancer.WorkerID(c.renames+1), 0, loadbalancer.Ready),
+	})
+}
+
+// kill restarts the dispatcher without closing the open period.
+func (c *lifecycle) kill() {
+	c.lostAnswers += c.openAnswers
+	c.openAnswers = 0
+	c.restart()
+}
+
+// checkTotals checks what a receiver has after all periods were delivered.
+func (c *lifecycle) checkTotals(t *rapid.T, receiver int) {
+	last := 0.0
+	for stamp := int64(1); stamp <= c.stamp; stamp++ {
+		total, delivered := c.receivers[receiver][stamp]
+		if !delivered {
+			continue
+		}
+		if total < last {
+			t.Fatalf("total fell from %v to %v", last, total)
+		}
+		last = total
+	}
+	if last != c.closedAnswers {
+		t.Fatalf("receiver %d has %v, given were %v and lost %v", receiver, last, c.closedAnswers, c.lostAnswers)
+	}
+}
+
 // TestTotalsMatchAnswers checks for any order of answers, renames, outages, ends of periods, restarts and kills that
 // every receiver's final total is the number of answers, except for periods that a kill left open, and that totals never
 // decrease.
@@ -345,29 +398,8 @@
 		c := &lifecycle{receivers: []map[int64]float64{{}, {}}, reachable: []bool{true, true}}
 		c.restart()
 		t.Repeat(map[string]func(*rapid.T){
-			"answer": func(t *rapid.T) {
-				verdict := rapid.SampledFrom([]dispatch.Verdict{
-					dispatch.Served,
-					dispatch.Rejected,
-					dispatch.Failed,
-					dispatch.Disconnected,
-					dispatch.Requeued,
-				}).Draw(t, "verdict")
-				c.set.ObserveAnswer(&dispatch.AnswerRecord{
-					Verdict:        verdict,
-					AnsweredAt:     1,
-					TargetAt:       rapid.Float64Range(0, 2).Draw(t, "aim"),
-					WinningAttempt: -1,
-				})
-				c.openAnswers++
-			},
-			"rename": func(t *rapid.T) {
-				c.renames++
-				c.set.ObserveMembers(loadbalancer.ListFull, []dispatch.Member{
-					member("stays", 1, 0, loadbalancer.Ready),
-					member(fmt.Sprint("n", c.renames), loadbalancer.WorkerID(c.renames+1), 0, loadbalancer.Ready),
-				})
-			},
+			"answer": c.answer,
+			"rename": func(*rapid.T) { c.rename() },
 			"away": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "receiver")
 				c.reachable[i] = !c.reachable[i]
@@ -383,27 +415,13 @@
 				c.closePeriod()
 				c.restart()
 			},
-			"kill": func(*rapid.T) {
-				c.lostAnswers += c.openAnswers
-				c.openAnswers = 0
-				c.restart()
-			},
+			"kill": func(*rapid.T) { c.kill() },
 		})
 		c.closePeriod()
 		for i := range c.receivers {
 			c.reachable[i] = true
 			c.deliver(t, i, 1<<20, false)
-			last := 0.0
-			for stamp := int64(1); stamp <= c.stamp; stamp++ {
-				if v, got := c.receivers[i][stamp]; got && v < last {
-					t.Fatalf("total fell from %v to %v", last, v)
-				} else if got {
-					last = v
-				}
-			}
-			if last != c.closedAnswers {
-				t.Fatalf("receiver %d has %v, given were %v and lost %v", i, last, c.closedAnswers, c.lostAnswers)
-			}
+			c.checkTotals(t, i)
 		}
 		if n := c.set.Table().Len(); c.renames > 0 && n > newSet(Options{MaxNodes: 64}).Table().Len()+2*int(nodeSeriesCount) {
 			t.Fatalf("%d series after %d renames", n, c.renames)
--- a/loadbalancer/replay_test.go
+++ b/loadbalancer/replay_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"hash"
 	"hash/fnv"
+	"maps"
 	"math"
 	"os"
 	"path/filepath"
@@ -119,27 +120,20 @@
 	return h.sum.Sum64(), actions
 }
 
-// The actions of a Balancer are recorded in testdata/replay.txt: a change that should change no decision leaves every hash as
-// it is. One that should writes the file anew with REPLAY_RECORD=1, and its commit gives the reason.
-func TestRecordedRunsAreReplayed(t *testing.T) {
-	if runtime.GOARCH != "amd64" {
-		t.Skip("recorded on amd64; other processors round products that are added differently")
-	}
-	var got []string
-	record := func(name string, sum uint64, actions int) {
-		got = append(got, fmt.Sprintf("%016x %7d %s", sum, actions, name))
-	}
+// recordedRun is a line of testdata/replay.txt.
+func recordedRun(name string, sum uint64, actions int) string {
+	return fmt.Sprintf("%016x %7d %s", sum, actions, name)
+}
+
+// simulatedRuns plays the simulations, in order of their names.
+func simulatedRuns(t *testing.T) (runs []string) {
+	t.Helper()
 	plans := omittedPlans()
 	restarting := planWithReports()
 	restarting.restarts = true
 	restarting.slowdown = 4
 	plans["all told, a third starts anew, some slow down"] = restarting
-	names := make([]string, 0, len(plans))
-	for name := range plans {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(plans)) {
 		for _, load := range []float64{0.7, 1.4} {
 			for _, withInstanceShare := range []bool{false, true} {
 				plan := plans[name]
@@ -149,18 +143,36 @@
 				plan.load = load
 				plan.length = min(plan.length, 10)
 				sum, actions := replayed(t, plan, 3, withInstanceShare)
-				record(fmt.Sprintf("%s, load %.1f, place told %v", name, load, withInstanceShare), sum, actions)
+				label := fmt.Sprintf("%s, load %.1f, place told %v", name, load, withInstanceShare)
+				runs = append(runs, recordedRun(label, sum, actions))
 			}
 		}
 	}
+	return runs
+}
+
+// randomEventRuns plays random events with each variant of the settings.
+func randomEventRuns(t *testing.T) (runs []string) {
+	t.Helper()
 	for v, s := range variants() {
 		for seed := int64(1000); seed < 1010; seed++ {
 			trace := playRandomEvents(t, s, seed, 800)
 			sum := fnv.New64a()
 			fmt.Fprint(sum, strings.Join(trace, "\n"))
-			record(fmt.Sprintf("odd events, variant %d, seed %d", v, seed), sum.Sum64(), len(trace))
+			label := fmt.Sprintf("odd events, variant %d, seed %d", v, seed)
+			runs = append(runs, recordedRun(label, sum.Sum64(), len(trace)))
 		}
 	}
+	return runs
+}
+
+// The actions of a Balancer are recorded in testdata/replay.txt: a change that should change no decision leaves every hash as
+// it is. One that should writes the file anew with REPLAY_RECORD=1, and its commit gives the reason.
+func TestRecordedRunsAreReplayed(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("recorded on amd64; other processors round products that are added differently")
+	}
+	got := append(simulatedRuns(t), randomEventRuns(t)...)
 	file := filepath.Join("testdata", "replay.txt")
 	if os.Getenv("REPLAY_RECORD") != "" {
 		if err := os.WriteFile(file, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
