--- a/cmd/cinderctl/fake_test.go
+++ b/cmd/cinderctl/fake_test.go
@@ -132,7 +132,10 @@
 		}
 		go http.Serve(one, first)
 		go http.Serve(two, second)
-		t.Cleanup(func() { one.Close(); two.Close() })
+		t.Cleanup(func() {
+			one.Close()
+			two.Close()
+		})
 		return port
 	}
 	t.Fatal("no port is free at both addresses")
--- a/cmd/cinderctl/statustables.go
+++ b/cmd/cinderctl/statustables.go
@@ -106,7 +106,14 @@
 			if replica.Voter {
 				kind = "voter"
 			}
-			t.add(strconv.Itoa(int(partition.Partition)), replica.Replica, replica.Node, replica.Zone, replica.Address, kind)
+			t.add(
+				strconv.Itoa(int(partition.Partition)),
+				replica.Replica,
+				replica.Node,
+				replica.Zone,
+				replica.Address,
+				kind,
+			)
 		}
 	}
 	slices.SortFunc(t.rows[1:], slices.Compare)
@@ -143,7 +150,13 @@
 			if follower.Behind {
 				inStep = "no"
 			}
-			t.add(follower.Node, machine.Node, "#"+formatUint(follower.ConfigurationIndex), inStep, milliseconds(follower.SinceLastCallMS))
+			t.add(
+				follower.Node,
+				machine.Node,
+				"#"+formatUint(follower.ConfigurationIndex),
+				inStep,
+				milliseconds(follower.SinceLastCallMS),
+			)
 		}
 	}
 	return t
--- a/internal/system/configuration/parse_test.go
+++ b/internal/system/configuration/parse_test.go
@@ -61,6 +61,25 @@
 
 func TestParseAllFields(t *testing.T) {
 	document := mustParse(t, sampleDocument, 6)
+	if document.Version() != 7 {
+		t.Errorf("version %d", document.Version())
+	}
+	checkSampleRoutes(t, document)
+	checkSampleServices(t, document)
+	wantLimits := Limits{
+		MaxHeaderBytes: 16384,
+		MaxBodyBytes:   4194304,
+		HeaderTimeout:  3 * time.Second,
+		IdleTimeout:    15 * time.Second,
+	}
+	if got, known := document.Limits(); !known || got != wantLimits {
+		t.Errorf("limits %+v", got)
+	}
+}
+
+// checkSampleRoutes checks the routes of the sample document.
+func checkSampleRoutes(t *testing.T, document *Document) {
+	t.Helper()
 	wantRoutes := []*Route{
 		{
 			Name:           "r-1",
@@ -91,6 +110,11 @@
 	if got := document.Routes(); !reflect.DeepEqual(got, wantRoutes) {
 		t.Errorf("routes %+v %+v", got[0], got[1])
 	}
+}
+
+// checkSampleServices checks the services of the sample document.
+func checkSampleServices(t *testing.T, document *Document) {
+	t.Helper()
 	wantServices := []*Service{
 		{
 			Name:              "engine",
@@ -112,18 +136,6 @@
 	if got := document.Services(); !reflect.DeepEqual(got, wantServices) {
 		t.Errorf("services %+v %+v", got[0], got[1])
 	}
-	wantLimits := Limits{
-		MaxHeaderBytes: 16384,
-		MaxBodyBytes:   4194304,
-		HeaderTimeout:  3 * time.Second,
-		IdleTimeout:    15 * time.Second,
-	}
-	if got, known := document.Limits(); !known || got != wantLimits {
-		t.Errorf("limits %+v", got)
-	}
-	if document.Version() != 7 {
-		t.Errorf("version %d", document.Version())
-	}
 }
 
 // invalidDocument is a document that is rejected with a problem at a path.
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -161,7 +161,8 @@
 		n.role = Follower
 		n.grantedBy = nil
 	}
-	n.electionDeadline = max(n.electionDeadline, n.now+n.randomDuration(n.config.ElectionTimeout*3/4, n.config.ElectionTimeout*5/4))
+	postponement := n.randomDuration(n.config.ElectionTimeout*3/4, n.config.ElectionTimeout*5/4)
+	n.electionDeadline = max(n.electionDeadline, n.now+postponement)
 }
 
 // handlePreVoteReply counts a pre-vote and starts the election once a majority has granted one.
--- a/internal/system/control/feedserver/followers.go
+++ b/internal/system/control/feedserver/followers.go
@@ -77,7 +77,11 @@
 	registry.expire(now)
 	followers := make([]Follower, 0, len(registry.calls))
 	for node, call := range registry.calls {
-		followers = append(followers, Follower{Node: node, ConfigurationIndex: call.configurationIndex, SinceLastCall: now - call.at})
+		followers = append(followers, Follower{
+			Node:               node,
+			ConfigurationIndex: call.configurationIndex,
+			SinceLastCall:      now - call.at,
+		})
 	}
 	slices.SortFunc(followers, func(a, b Follower) int { return cmp.Compare(a.Node, b.Node) })
 	return followers
--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -23,7 +23,8 @@
 	discovery := p.runnerSync.Status()
 	gauge("cinderroad_control_discovery_holder", "Whether this machine reads the platform's list of runners.",
 		exposition.BoolValue(discovery.Holder))
-	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.", float64(discovery.CallCount))
+	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.",
+		float64(discovery.CallCount))
 }
 
 // writePartitionMetrics writes the metrics of each local replica.
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -103,7 +103,9 @@
 
 // diff returns the writes that make the view equal to the list, ordered by key. Runners that are stored and not listed are
 // deleted if shouldDelete reports so.
-func (v *partitionView) diff(listed map[string]*discovery.Runner, now time.Duration, shouldDelete func(key string) bool) []state.Write {
+func (v *partitionView) diff(
+	listed map[string]*discovery.Runner, now time.Duration, shouldDelete func(key string) bool,
+) []state.Write {
 	var writes []state.Write
 	for key, runner := range listed {
 		stored, exists := v.runners[key]
--- a/internal/system/discovery/runner.go
+++ b/internal/system/discovery/runner.go
@@ -26,8 +26,14 @@
 // EqualExceptTimes reports whether two entries agree in all that does not count down by itself: in everything but
 // SlowStartRemaining and TimeToTermination.
 func (r *Runner) EqualExceptTimes(other *Runner) bool {
-	return r.ID == other.ID && r.Service == other.Service && r.Address == other.Address && r.Zone == other.Zone &&
-		r.Capacity == other.Capacity && r.Draining == other.Draining && r.Phase == other.Phase && slices.Equal(r.Models, other.Models)
+	return r.ID == other.ID &&
+		r.Service == other.Service &&
+		r.Address == other.Address &&
+		r.Zone == other.Zone &&
+		r.Capacity == other.Capacity &&
+		r.Draining == other.Draining &&
+		r.Phase == other.Phase &&
+		slices.Equal(r.Models, other.Models)
 }
 
 // Model is a model that a runner serves.
--- a/internal/system/replica/contact.go
+++ b/internal/system/replica/contact.go
@@ -31,7 +31,9 @@
 	}
 	c.lastReceivedAt[from] = now
 	if len(c.lastReceivedAt) > len(membership.Members) {
-		maps.DeleteFunc(c.lastReceivedAt, func(id consensus.ReplicaID, _ time.Duration) bool { return !hasMember(membership, id) })
+		maps.DeleteFunc(c.lastReceivedAt, func(id consensus.ReplicaID, _ time.Duration) bool {
+			return !hasMember(membership, id)
+		})
 	}
 }
 
--- a/internal/system/replica/departures.go
+++ b/internal/system/replica/departures.go
@@ -23,7 +23,9 @@
 
 // add records an announcement in place of the replica's earlier one and drops those older than lostTimeout.
 func (d *departures) add(id consensus.ReplicaID, now time.Duration) {
-	d.notices = slices.DeleteFunc(d.notices, func(n departure) bool { return n.id == id || now-n.receivedAt > lostTimeout })
+	d.notices = slices.DeleteFunc(d.notices, func(notice departure) bool {
+		return notice.id == id || now-notice.receivedAt > lostTimeout
+	})
 	if len(d.notices) < maxMembers {
 		d.notices = append(d.notices, departure{id, now})
 	}
@@ -31,13 +33,17 @@
 
 // isLeaving reports whether a replica announced its departure within departureTTL.
 func (d *departures) isLeaving(id consensus.ReplicaID, now time.Duration) bool {
-	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && now-n.receivedAt <= departureTTL })
+	return slices.ContainsFunc(d.notices, func(notice departure) bool {
+		return notice.id == id && now-notice.receivedAt <= departureTTL
+	})
 }
 
 // hasDeparted reports whether a replica announced its departure and has sent nothing since. lastReceivedAt is when
 // its last message was received; 0 means never.
 func (d *departures) hasDeparted(id consensus.ReplicaID, lastReceivedAt time.Duration) bool {
-	return slices.ContainsFunc(d.notices, func(n departure) bool { return n.id == id && lastReceivedAt <= n.receivedAt+departureTTL })
+	return slices.ContainsFunc(d.notices, func(notice departure) bool {
+		return notice.id == id && lastReceivedAt <= notice.receivedAt+departureTTL
+	})
 }
 
 // announceDeparture notifies all known control machines that this replica is leaving. The host's mutex is held; the
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -20,7 +20,7 @@
 	snapshotBytes         int    // of the last snapshot
 	snapshotPending       bool
 	pendingJobs           int                                   // in the disk writer
-	promotionRetryAt      map[consensus.ReplicaID]time.Duration // learners that were too far behind to vote, and when to try again
+	promotionRetryAt      map[consensus.ReplicaID]time.Duration // by learner that was too far behind to vote
 	commitIndex           uint64
 	lastHardState         consensus.HardState  // given to the disk writer last
 	proposals             map[uint64]*proposal // by index, linked if there are several
@@ -124,10 +124,16 @@
 // newWrite returns the storage write of a Ready. A hard state in which only the commit index changed is not written
 // by itself; the index is stored along with the next entries.
 func (g *group) newWrite(ready *consensus.Ready) storage.Update {
-	write := storage.Update{Partition: g.partition, InstalledSnapshot: ready.Snapshot, Entries: ready.Entries, CommitIndex: g.commitIndex}
-	if ready.HardState != nil && (ready.HardState.Term != g.lastHardState.Term || ready.HardState.Vote != g.lastHardState.Vote) {
-		g.lastHardState = *ready.HardState
-		write.HardState = ready.HardState
+	write := storage.Update{
+		Partition:         g.partition,
+		InstalledSnapshot: ready.Snapshot,
+		Entries:           ready.Entries,
+		CommitIndex:       g.commitIndex,
+	}
+	hardState := ready.HardState
+	if hardState != nil && (hardState.Term != g.lastHardState.Term || hardState.Vote != g.lastHardState.Vote) {
+		g.lastHardState = *hardState
+		write.HardState = hardState
 	}
 	return write
 }
--- a/internal/system/replica/join.go
+++ b/internal/system/replica/join.go
@@ -49,7 +49,8 @@
 // after everything that this replica knows; the reply to a join request has the address.
 func (h *Host) needsJoin(now time.Duration) bool {
 	for _, g := range h.groups {
-		if !h.isMember(g) || elapsedSince(g.node.Status().LastLeaderContact, now) > leaderlessTimeout || !h.knowsLeaderAddress(g) {
+		leaderless := elapsedSince(g.node.Status().LastLeaderContact, now) > leaderlessTimeout
+		if leaderless || !h.isMember(g) || !h.knowsLeaderAddress(g) {
 			return true
 		}
 	}
--- a/internal/system/replica/voter_plan.go
+++ b/internal/system/replica/voter_plan.go
@@ -129,7 +129,9 @@
 
 // hasUnidentifiedMember reports whether a founder that responds has not reported its node name and zone yet.
 func (view *membershipView) hasUnidentifiedMember() bool {
-	return slices.ContainsFunc(view.members, func(m memberState) bool { return m.Node == "" && m.sinceResponse < view.limits.absentAfter })
+	return slices.ContainsFunc(view.members, func(member memberState) bool {
+		return member.Node == "" && member.sinceResponse < view.limits.absentAfter
+	})
 }
 
 // hasCatchingUpLearner reports whether an available learner is not promotable yet.
--- a/internal/system/storage/update.go
+++ b/internal/system/storage/update.go
@@ -85,7 +85,8 @@
 	}
 	for i := range entries {
 		entry := &entries[i]
-		err := db.exec(insertEntry, entryKey(partition, entry.Index), int64(entry.Term), int64(entry.Kind), int64(committed), entry.Data)
+		key := entryKey(partition, entry.Index)
+		err := db.exec(insertEntry, key, int64(entry.Term), int64(entry.Kind), int64(committed), entry.Data)
 		if err != nil {
 			return err
 		}
