--- a/cmd/cinderctl/main_test.go
+++ b/cmd/cinderctl/main_test.go
@@ -29,5 +29,5 @@
 func TestNoMachineResponds(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
-	call("--within=1ms", "--seed="+strings.TrimPrefix(server.URL, "http://"), "status").expect(t, exitFailed, "no clear answer")
+	call("--within=1ms", "--seed="+strings.TrimPrefix(server.URL, "http://"), "status").expect(t, exitFailed, "no definite response")
 }
--- a/cmd/cinderctl/status_test.go
+++ b/cmd/cinderctl/status_test.go
@@ -12,7 +12,7 @@
 	first, second := &fakeControl{status: newStatus("core-1", true)}, &fakeControl{status: newStatus("core-2", false)}
 	port := serveBoth(t, first, second)
 	seed := "--seed=127.0.1.1:" + port
-	call(seed, "status").expect(t, exitOK, "core-1", "core-2", "holds it, list 120ms old", "voter", "leader",
+	call(seed, "status").expect(t, exitOK, "core-1", "core-2", "active, list 120ms old", "voter", "leader",
 		"127.0.1.3:"+port+" does not answer")
 	call(seed, "status", "--members").expect(t, exitOK, "edge-1", "FOLLOWER", "suspect")
 	var report statusReport
--- a/cmd/cinderctl/statustables.go
+++ b/cmd/cinderctl/statustables.go
@@ -42,9 +42,9 @@
 	case !discovery.Holder:
 		return "-"
 	case !discovery.ListReceived:
-		return "holds it, platform silent"
+		return "active, platform not responding"
 	}
-	return "holds it, list " + milliseconds(discovery.ListAgeMS) + " old"
+	return "active, list " + milliseconds(discovery.ListAgeMS) + " old"
 }
 
 // partitionsTable has a row for each partition and control machine, ordered by partition.
--- a/cmd/cinderroad-agent/main.go
+++ b/cmd/cinderroad-agent/main.go
@@ -16,7 +16,7 @@
 func main() {
 	program := startup.Program{
 		Name:        "cinderroad-agent",
-		Description: "Links the proxy of an edge machine to the control replicas.",
+		Description: "Agent of an edge machine: follows the feed of a control replica and passes it on to the proxy.",
 		Version:     startup.BuildVersion(),
 		LogLevel:    zapcore.InfoLevel,
 		GCPercent:   20, // memory is scarce, and the rate of allocations low
--- a/cmd/cinderroad-control/main.go
+++ b/cmd/cinderroad-control/main.go
@@ -16,7 +16,7 @@
 func main() {
 	program := startup.Program{
 		Name:        "cinderroad-control",
-		Description: "Control replica of a core machine: operator's API, directory and feed.",
+		Description: "Control replica of a core machine: serves the operator's API, the directory and the feed.",
 		Version:     startup.BuildVersion(),
 		LogLevel:    zapcore.InfoLevel,
 		GCPercent:   25, // memory is scarce, and the rate of allocations low
--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -14,18 +14,18 @@
 
 // dayCommand runs the real programs under traffic and faults: see package emulator.
 type dayCommand struct {
-	Programs string        `name:"programs" help:"Folder of the system's programs; that of this program if there is none." type:"path"`
-	Folder   string        `name:"folder" help:"For settings, logs and disks; a temporary one if there is none." type:"path"`
+	Programs string        `name:"programs" help:"Folder of the system's programs; default: the folder of this program." type:"path"`
+	Folder   string        `name:"folder" help:"Folder for settings, logs and stored state; default: a temporary folder." type:"path"`
 	Scenario string        `name:"scenario" default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
-	Edges    int           `name:"edges" default:"3" help:"Machines that serve clients."`
-	Load     float64       `name:"load" default:"0.5" help:"Multiple of every rate."`
-	Length   time.Duration `name:"length" default:"20s" help:"Of the traffic."`
-	Seed     uint64        `name:"seed" default:"1" help:"Of the traffic."`
-	Trouble  []string      `name:"trouble" default:"drain,config" help:"What happens, evenly over the day: none, ${troubles}."`
+	Edges    int           `name:"edges" default:"3" help:"Number of edge machines."`
+	Load     float64       `name:"load" default:"0.5" help:"Factor applied to all request rates."`
+	Length   time.Duration `name:"length" default:"20s" help:"Duration of the traffic."`
+	Seed     uint64        `name:"seed" default:"1" help:"Seed of the random traffic."`
+	Trouble  []string      `name:"trouble" default:"drain,config" help:"Faults to inject, evenly spread over the day: none, ${troubles}."`
 }
 
 // errDayFailed says that the report, which was printed before, is one of a failure.
-var errDayFailed = errors.New("a rule was broken, or a process ended by itself")
+var errDayFailed = errors.New("a rule was violated, or a process exited unexpectedly")
 
 // Run implements the command.
 func (d *dayCommand) Run() error {
--- a/cmd/cinderroad-emulator/main.go
+++ b/cmd/cinderroad-emulator/main.go
@@ -6,13 +6,13 @@
 import "github.com/alecthomas/kong"
 
 type commands struct {
-	Day      dayCommand      `cmd:"" name:"day" default:"withargs" help:"Serve a short day with the real programs on loopback."`
-	Policies policiesCommand `cmd:"" name:"policies" help:"Compare placement policies over modelled runners in virtual time."`
+	Day      dayCommand      `cmd:"" name:"day" default:"withargs" help:"Run the real programs on loopback, with traffic and faults."`
+	Policies policiesCommand `cmd:"" name:"policies" help:"Compare placement policies over simulated runners in virtual time."`
 }
 
 func main() {
 	var c commands
 	context := kong.Parse(&c, kong.Name("cinderroad-emulator"), kong.Vars{"troubles": faultNames()},
-		kong.Description("Deployments of the system on one machine, with stand-ins for everything outside it."))
+		kong.Description("Runs deployments of the system on one machine, with fakes of all external systems."))
 	context.FatalIfErrorf(context.Run())
 }
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -13,15 +13,15 @@
 // policiesCommand compares placement policies: see package policysim.
 type policiesCommand struct {
 	Scenario string        `name:"scenario" default:"screening" enum:"screening,parcels" help:"Deployment: ${enum}."`
-	Load     float64       `name:"load" default:"1" help:"Multiple of every rate."`
-	Length   time.Duration `name:"length" default:"34s" help:"Of the traffic."`
-	Seed     uint64        `name:"seed" default:"1" help:"Of the traffic and of the policies."`
-	Seeds    int           `name:"seeds" default:"1" help:"Runs of each policy, with seeds that follow each other; means are told."`
-	Burst    string        `name:"burst" help:"Class whose rate is multiplied by 2.5 from 10 s on, for 10 s."`
-	Crash    int           `name:"crash" help:"Runners that crash at 12 s, for 4.5 s."`
-	Dark     bool          `name:"dark" help:"Runners that crash say nothing, instead of losing their connections."`
-	Only     []string      `name:"only" help:"Names of policies; all if there are none."`
-	Jobs     int           `name:"jobs" help:"Runs at once; half of the processors if there is none."`
+	Load     float64       `name:"load" default:"1" help:"Factor applied to all request rates."`
+	Length   time.Duration `name:"length" default:"34s" help:"Duration of the traffic."`
+	Seed     uint64        `name:"seed" default:"1" help:"Seed of the random traffic and of the policies."`
+	Seeds    int           `name:"seeds" default:"1" help:"Number of runs of each policy, with consecutive seeds; means are printed."`
+	Burst    string        `name:"burst" help:"Class whose request rate is multiplied by 2.5 from 10 s to 20 s."`
+	Crash    int           `name:"crash" help:"Number of runners that crash at 12 s and restart 4.5 s later."`
+	Dark     bool          `name:"dark" help:"Crashed runners stop responding instead of closing their connections."`
+	Only     []string      `name:"only" help:"Names of the policies to compare; default: all."`
+	Jobs     int           `name:"jobs" help:"Number of concurrent runs; default: half of the processors."`
 }
 
 const (
--- a/cmd/cinderroad-proxy/main.go
+++ b/cmd/cinderroad-proxy/main.go
@@ -32,7 +32,7 @@
 func main() {
 	program := startup.Program{
 		Name:        "cinderroad-proxy",
-		Description: "Serves clients of an edge machine; the settings file is named by " + processconfig.PathVariable + ".",
+		Description: "Proxy of an edge machine: serves clients. " + processconfig.PathVariable + " names the settings file.",
 		Version:     "cinderroad-proxy 1",
 		LogLevel:    zapcore.InfoLevel,
 		GCPercent:   40, // peak memory costs more than collecting so small a heap
--- a/internal/system/control/client/errors.go
+++ b/internal/system/control/client/errors.go
@@ -31,7 +31,7 @@
 
 // Error says what the operator can do.
 func (e *UnavailableError) Error() string {
-	return "no clear answer after " + strconv.Itoa(e.Attempts) + " attempts; an order may have been taken: send the same " +
+	return "no definite response after " + strconv.Itoa(e.Attempts) + " attempts; a change may have been committed: send the same " +
 		"one again, and check with status that a majority of the control machines runs; last: " + e.LastError.Error()
 }
 
--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -16,14 +16,15 @@
 
 func (p *Process) writeStateMetrics(page *exposition.Page) {
 	gauge := func(name, help string, value float64) { page.Metric(exposition.Gauge, name, help, value) }
-	gauge("cinderroad_control_configuration_version", "Version of the configuration held here; 0: none.",
+	gauge("cinderroad_control_configuration_version", "Version of the configuration on this replica; 0: none.",
 		float64(p.configuration.Version()))
-	gauge("cinderroad_control_stopping", "Whether the process was told to stop.", exposition.BoolValue(p.stopping.Load()))
+	gauge("cinderroad_control_stopping", "Whether the process has received a stop signal.", exposition.BoolValue(p.stopping.Load()))
 	gauge("cinderroad_control_followers", "Members that follow this machine's feed.", float64(len(p.feedServer.Followers())))
 	discovery := p.runnerSync.Status()
-	gauge("cinderroad_control_discovery_holder", "Whether this machine reads the platform's list of runners.",
+	gauge("cinderroad_control_discovery_holder", "Whether this machine has the role of polling the platform's runner list.",
 		exposition.BoolValue(discovery.Holder))
-	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total", "Calls to the platform.",
+	page.Metric(exposition.Counter, "cinderroad_control_discovery_calls_total",
+		"Requests sent to the platform for its runner list.",
 		float64(discovery.CallCount))
 }
 
@@ -33,20 +34,21 @@
 	label := func(i int) exposition.Label {
 		return exposition.Label{Name: "partition", Value: strconv.Itoa(int(partitions[i].Partition))}
 	}
-	page.Family(exposition.Gauge, "cinderroad_control_leads", "Whether this machine leads the partition, with a lease.")
+	page.Family(exposition.Gauge, "cinderroad_control_leads", "Whether this machine is the leader of the partition and has a valid lease.")
 	for i := range partitions {
 		_, leads := p.host.LeaderLease(partitions[i].Partition)
 		page.Sample(exposition.BoolValue(leads), label(i))
 	}
-	page.Family(exposition.Gauge, "cinderroad_control_fresh_seconds", "Time since a leader that a majority follows was heard.")
+	page.Family(exposition.Gauge, "cinderroad_control_fresh_seconds",
+		"Time since the last confirmed contact with a leader that has a majority, by partition.")
 	for i := range partitions {
 		page.Sample(p.host.Staleness(partitions[i].Partition).Seconds(), label(i))
 	}
-	page.Family(exposition.Gauge, "cinderroad_control_term", "Term of the partition's group, as held here.")
+	page.Family(exposition.Gauge, "cinderroad_control_term", "Raft term of the partition on this replica.")
 	for i := range partitions {
 		page.Sample(float64(partitions[i].Status.Term), label(i))
 	}
-	page.Family(exposition.Gauge, "cinderroad_control_applied_index", "Index up to which the log is applied here.")
+	page.Family(exposition.Gauge, "cinderroad_control_applied_index", "Index of the last log entry applied on this replica, by partition.")
 	for i := range partitions {
 		page.Sample(float64(partitions[i].Status.Applied), label(i))
 	}
@@ -68,7 +70,7 @@
 			starting++
 		}
 	}
-	page.Family(exposition.Gauge, "cinderroad_control_proxies", "Proxies as this machine's directory sees them.")
+	page.Family(exposition.Gauge, "cinderroad_control_proxies", "Proxies by state in the directory of this machine.")
 	state := func(name string) exposition.Label { return exposition.Label{Name: "state", Value: name} }
 	page.Sample(float64(usable), state("ready"))
 	page.Sample(float64(starting), state("starting"))
--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -159,9 +159,9 @@
 	e.inForce = configurationDocumentOf(e.options.Scenario, firstVersion)
 	began := time.Now()
 	if err := e.operator.replaceConfiguration(ctx, e.inForce, 0); err != nil {
-		return fmt.Errorf("the first configuration was not taken: %w", err)
+		return fmt.Errorf("the first configuration was not accepted: %w", err)
 	}
-	e.logEvent("configuration taken", "version", firstVersion, "after", time.Since(began).Round(time.Millisecond))
+	e.logEvent("configuration accepted", "version", firstVersion, "after", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
--- a/internal/system/emulator/faults.go
+++ b/internal/system/emulator/faults.go
@@ -53,7 +53,7 @@
 	if t := Fault(name); slices.Contains(Faults(), t) {
 		return t, nil
 	}
-	return "", fmt.Errorf("there is no trouble %q: there are %v", name, Faults())
+	return "", fmt.Errorf("unknown fault %q, the known ones are %v", name, Faults())
 }
 
 const (
@@ -84,9 +84,9 @@
 		if !retry.Sleep(ctx, delay) {
 			return
 		}
-		e.logEvent("trouble", "kind", fault)
+		e.logEvent("injecting fault", "kind", fault)
 		if err := e.injectFault(ctx, fault); err != nil {
-			e.logEvent("trouble failed", "kind", fault, "error", err)
+			e.logEvent("fault injection failed", "kind", fault, "error", err)
 		}
 	}()
 }
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -61,7 +61,7 @@
 		}
 		o.attempts++
 		if !retry.Sleep(ctx, wait) {
-			return nil, fmt.Errorf("operator: %s got no clear answer: last status %d, %w", path, status, ctx.Err())
+			return nil, fmt.Errorf("operator: the outcome of %s is unknown: last status %d, %w", path, status, ctx.Err())
 		}
 		wait = min(2*wait, maxBackoff)
 	}
--- a/internal/system/startup/startup.go
+++ b/internal/system/startup/startup.go
@@ -59,8 +59,8 @@
 
 // Help texts of the flags.
 const (
-	logLevelHelp    = "Least level of events that are logged: debug, info, warn or error."
-	metricsPortHelp = "Port of the machine's address at which the process serves its own figures (GET /metrics); 0: none."
+	logLevelHelp    = "Minimum level of logged events: debug, info, warn or error."
+	metricsPortHelp = "Port on the machine's address at which the process serves its metrics (GET /metrics); 0: none."
 )
 
 func (p *Program) parser(flags *commandLine) *kong.Kong {
