--- a/internal/dispatcher/admin/connection.go
+++ b/internal/dispatcher/admin/connection.go
@@ -111,7 +111,7 @@
 	c.server.Calls++
 	if status >= 300 {
 		c.server.Rejected++
-		c.server.log.Warn("console: no", zap.Int("status", status), zap.String("reason", reason))
+		c.server.log.Warn("admin: request failed", zap.Int("status", status), zap.String("reason", reason))
 	}
 	c.conn.Write(httpfront.AppendResponse(nil, status, "", []byte(reason+"\n"), true))
 	c.conn.CloseAfterFlush()
--- a/internal/dispatcher/admin/server.go
+++ b/internal/dispatcher/admin/server.go
@@ -46,7 +46,7 @@
 	s := &Server{loop: loop, log: log, calls: calls}
 	listener, err := loop.ListenReserved(addr, maxConnections, s.evict, s.accept)
 	if err != nil {
-		return nil, fmt.Errorf("console: %w", err)
+		return nil, fmt.Errorf("admin server: %w", err)
 	}
 	s.listener = listener
 	return s, nil
--- a/internal/dispatcher/cluster/cluster.go
+++ b/internal/dispatcher/cluster/cluster.go
@@ -81,12 +81,12 @@
 // join starts the node on the open socket.
 func (c *Cluster) join() {
 	c.socket.SetHandler(c.handleDatagram)
-	c.log.Info("fleet: member",
-		zap.String("fleet", c.options.Cluster),
+	c.log.Info("membership: joined",
+		zap.String("cluster", c.options.Cluster),
 		zap.String("name", c.options.Name),
 		zap.Stringer("bind", c.options.Bind),
 		zap.Stringer("advertise", c.options.Advertise),
-		zap.Uint64("life", c.node.Generation))
+		zap.Uint64("generation", c.node.Generation))
 	c.node.Start(c.loop.Now())
 	c.flush()
 	c.scheduleTick()
--- a/internal/dispatcher/cluster/lease.go
+++ b/internal/dispatcher/cluster/lease.go
@@ -28,7 +28,7 @@
 		return
 	}
 	c.SetMetadata(c.options.Metadata)
-	c.log.Warn("fleet: lease", zap.Stringer("is", l.State()), zap.String("why", l.Reason))
+	c.log.Warn("membership: lease state changed", zap.Stringer("state", l.State()), zap.String("reason", l.Reason))
 	if out := l.State() == lease.Out; out != (before == lease.Out) {
 		c.options.OnLease(out, l.Reason)
 	}
--- a/internal/dispatcher/cluster/share.go
+++ b/internal/dispatcher/cluster/share.go
@@ -22,11 +22,11 @@
 	if before.Instances == share.Instances && before.Fraction == share.Fraction && before.Reason == share.Reason {
 		return // only names have changed
 	}
-	c.log.Info("fleet: cold workers are shared",
-		zap.Int("among", share.Instances),
-		zap.Int("me", share.Index),
-		zap.Float64("part", share.Fraction),
-		zap.String("why", string(share.Reason)))
+	c.log.Info("slow start: quota changed",
+		zap.Int("instances", share.Instances),
+		zap.Int("index", share.Index),
+		zap.Float64("fraction", share.Fraction),
+		zap.String("reason", string(share.Reason)))
 }
 
 // Update applies at once what has changed in Options.Versions.
--- a/internal/dispatcher/cluster/transport.go
+++ b/internal/dispatcher/cluster/transport.go
@@ -39,7 +39,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("membership: %w", err)
 	}
 	return socket, nil
 }
@@ -52,7 +52,7 @@
 	socket, err := Bind(c.loop, c.options.Bind)
 	if socket == nil {
 		if !c.waiting || err != nil {
-			c.log.Warn("fleet: the address is taken, waiting for it", zap.Stringer("bind", c.options.Bind), zap.Error(err))
+			c.log.Warn("membership: bind address in use, retrying", zap.Stringer("bind", c.options.Bind), zap.Error(err))
 		}
 		c.waiting = true
 		c.timer = c.loop.At(c.loop.Now()+bindRetryInterval, c.retryBind)
@@ -101,7 +101,7 @@
 	if c.closed || c.waiting {
 		return
 	}
-	c.log.Warn("fleet: this process has stood still; what it knew is looked at again", zap.Float64("late_s", late))
+	c.log.Warn("membership: process was paused, verifying members again", zap.Float64("late_s", late))
 	if c.options.OnPause != nil {
 		c.options.OnPause(late)
 	}
@@ -122,7 +122,7 @@
 			}
 		}
 		c.Unsent++ // a full buffer or no route: as if lost on the network
-		c.log.Debug("fleet: not sent", zap.Stringer("to", packet.To), zap.Error(err))
+		c.log.Debug("membership: failed to send datagram", zap.Stringer("to", packet.To), zap.Error(err))
 	}
 	changes := c.node.TakeChanges()
 	for _, change := range changes {
@@ -132,7 +132,7 @@
 		c.lastConvergence = seconds
 		alive, suspect, dead := c.node.CountByState()
 		c.options.OnConverged(Convergence{seconds, alive, digest(c.node.Digest())})
-		c.log.Info("fleet: settled",
+		c.log.Info("membership: converged",
 			zap.Float64("after_s", seconds),
 			zap.Int("alive", alive),
 			zap.Int("suspect", suspect),
@@ -148,18 +148,18 @@
 func (c *Cluster) logChange(change membership.Change) {
 	fields := []zap.Field{
 		zap.String("member", change.Name),
-		zap.Stringer("is", change.To),
+		zap.Stringer("state", change.To),
 		zap.Uint64("incarnation", change.Incarnation),
 		zap.String("cause", change.Cause),
 	}
 	if !change.New {
-		fields = append(fields, zap.Stringer("was", change.From))
+		fields = append(fields, zap.Stringer("previous_state", change.From))
 	}
 	if change.Name == c.options.Name {
-		c.log.Error("fleet: "+change.Cause, zap.String("member", change.Name))
+		c.log.Error("membership: "+change.Cause, zap.String("member", change.Name))
 		return
 	}
-	c.log.Info("fleet: change", fields...)
+	c.log.Info("membership: member state changed", fields...)
 }
 
 // logDrops logs the numbers of dropped datagrams from time to time.
@@ -173,7 +173,7 @@
 	for i, n := range c.Drops {
 		fields = append(fields, zap.Uint64(DropNames[i], n))
 	}
-	c.log.Warn("fleet: datagrams dropped so far", fields...)
+	c.log.Warn("membership: datagrams dropped so far", fields...)
 }
 
 // GossipNow sends urgent facts and orders without waiting for the next tick.
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -119,7 +119,7 @@
 		p := t.orders.byMember[name]
 		t.orders.digest = xxhash.Sum64String(fmt.Sprint(t.orders.digest, p.Member, p.Out, p.Number, p.By))
 	}
-	t.Log(fmt.Sprintf("order %d of %s: %s", o.Number, o.By, o.String()))
+	t.Log(fmt.Sprintf("received order %d issued by %s: %s", o.Number, o.By, o.String()))
 	t.OnOrder(o)
 	return true
 }
--- a/internal/dispatcher/cluster/versions/table.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -236,7 +236,7 @@
 		t.version.Revision = revision
 		t.epochStart = now
 		t.dropFacts()
-		t.Log(fmt.Sprintf("the list's version has gone back to %d: line of descent %d", revision, t.version.Epoch))
+		t.Log(fmt.Sprintf("revision of the list has decreased to %d, starting epoch %d", revision, t.version.Epoch))
 	default:
 		t.version.Revision = revision
 	}
@@ -293,7 +293,7 @@
 			changed = true
 			t.Stats.Doubted++
 			t.OnEvent(now, &Event{Kind: FactDoubted, From: f.from, Version: t.version, Facts: []Fact{f.Fact}})
-			t.Log(fmt.Sprintf("%s told that %s is %s at version %d, which discovery has not told for %.0f s: taken back",
+			t.Log(fmt.Sprintf("withdrew update of %s (%s is %s at revision %d): not confirmed by discovery for %.0f s",
 				f.from, name, f.State, f.Revision, confirmTimeout))
 		}
 	}
--- a/internal/dispatcher/exporter/collectd.go
+++ b/internal/dispatcher/exporter/collectd.go
@@ -178,7 +178,7 @@
 		}
 		if bytes.HasPrefix(line, []byte("-")) {
 			o.stats.RejectedPoints++
-			o.exporter.log.Debug("metrics: collectd refused", zap.ByteString("line", line))
+			o.exporter.log.Debug("exporter: collectd rejected a value", zap.ByteString("line", line))
 		}
 		c.Consume(len(line) + 1)
 		if o.unanswered > 0 {
@@ -198,7 +198,7 @@
 
 // Closed implements eventloop.Handler. The unacknowledged period is sent again from its beginning.
 func (o *Collectd) Closed(_ *eventloop.Conn, err error) {
-	o.exporter.log.Debug("metrics: collectd", zap.String("path", o.path), zap.Error(err))
+	o.exporter.log.Debug("exporter: collectd connection failed", zap.String("path", o.path), zap.Error(err))
 	idle := o.period == nil
 	o.disconnect()
 	if idle {
--- a/internal/dispatcher/exporter/collectd_network.go
+++ b/internal/dispatcher/exporter/collectd_network.go
@@ -201,7 +201,7 @@
 }
 
 func (o *CollectdNetwork) attemptFailed(err error) {
-	o.exporter.log.Debug("metrics: collectd", zap.Stringer("address", o.options.Address), zap.Error(err))
+	o.exporter.log.Debug("exporter: failed to send to collectd", zap.Stringer("address", o.options.Address), zap.Error(err))
 	o.disconnect()
 	o.retryLater(o.wake)
 }
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -134,8 +134,8 @@
 				g.unconfirmedAttempts++
 			}
 			if g.unconfirmedAttempts == warnUnconfirmed {
-				g.exporter.log.Warn("metrics: the Graphite receiver never closes after our close, which would say that it has read all: "+
-					"sent again and again. A relay that does not close wants confirm = \"none\"",
+				g.exporter.log.Warn("exporter: Graphite receiver does not confirm batches by closing the connection: "+
+					"they are sent repeatedly. For a relay that does not close, set confirm = \"none\"",
 					zap.Stringer("address", g.options.Address))
 			}
 			g.attemptFailed(errors.New("no progress"))
@@ -225,7 +225,7 @@
 	}
 	var text bytes.Buffer
 	if err := ogorek.NewEncoder(&text).Encode(list); err != nil {
-		g.exporter.log.Error("metrics: pickle", zap.Error(err))
+		g.exporter.log.Error("exporter: failed to encode pickle", zap.Error(err))
 		return b, 0, done
 	}
 	b = binary.BigEndian.AppendUint32(b, uint32(text.Len()))
@@ -284,7 +284,7 @@
 
 // attemptFailed ends an attempt. All unconfirmed periods of the batch are sent again, in smaller batches.
 func (g *Graphite) attemptFailed(err error) {
-	g.exporter.log.Debug("metrics: Graphite", zap.Stringer("address", g.options.Address), zap.Error(err))
+	g.exporter.log.Debug("exporter: Graphite connection failed", zap.Stringer("address", g.options.Address), zap.Error(err))
 	idle := g.idle()
 	g.disconnect()
 	g.maxBatch = max(g.maxBatch/2, minBatchBytes)
--- a/internal/dispatcher/exporter/output.go
+++ b/internal/dispatcher/exporter/output.go
@@ -83,7 +83,7 @@
 // logTruncated logs why a period's values ended early, if they did.
 func (s *outputBase) logTruncated(r *telemetry.Reader) {
 	if err := r.Err(); err != nil {
-		s.exporter.log.Error("metrics: the rest of a period makes no sense, left out", zap.Error(err))
+		s.exporter.log.Error("exporter: invalid data in period, rest skipped", zap.Error(err))
 	}
 }
 
--- a/internal/dispatcher/gearman/peer.go
+++ b/internal/dispatcher/gearman/peer.go
@@ -112,7 +112,9 @@
 		}
 		if err != nil {
 			p.server.Counts.BadPackets++
-			p.server.log.Warn("gearman: bad packet, closing", zap.Error(err), zap.Uint64("so_far", p.server.Counts.BadPackets))
+			p.server.log.Warn("gearman: invalid packet, closing connection",
+				zap.Error(err),
+				zap.Uint64("total", p.server.Counts.BadPackets))
 			p.closeWithError(codeBadPacket, err.Error())
 			return
 		}
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -32,13 +32,13 @@
 func (p *peer) addAbility(name string, limit float64) {
 	fn := p.server.functions[name]
 	if fn == nil {
-		p.server.log.Info("gearman: worker offers a function that is not configured", zap.String("function", name))
+		p.server.log.Info("gearman: worker registered an unknown function", zap.String("function", name))
 		return
 	}
 	if p.worker == nil {
 		network, ok := p.server.config.networkOf(p.conn.Peer().Addr())
 		if !ok {
-			p.server.log.Warn("gearman: worker from a network that is not configured", zap.Stringer("from", p.conn.Peer()))
+			p.server.log.Warn("gearman: worker from an unknown network rejected", zap.Stringer("from", p.conn.Peer()))
 			return
 		}
 		p.worker = &worker{
--- a/internal/dispatcher/httpfront/connection.go
+++ b/internal/dispatcher/httpfront/connection.go
@@ -220,7 +220,7 @@
 			result = loadbalancer.Withdrawn // the shortage is local: no evidence against the backend
 		}
 		attempt.connection = nil
-		c.backend.pool.log.Debug("fetch: connection lost", zap.String("backend", c.backend.uid), zap.Error(err))
+		c.backend.pool.log.Debug("backend: connection lost", zap.String("backend", c.backend.uid), zap.Error(err))
 		c.backend.pool.endAttempt(attempt, dispatch.Outcome{Result: result, StaleConnection: c.stale})
 	}
 }
--- a/internal/dispatcher/httpfront/discovery.go
+++ b/internal/dispatcher/httpfront/discovery.go
@@ -135,8 +135,8 @@
 		return
 	}
 	c.BadEntries += uint64(len(bad))
-	c.log.Warn("director: bad entry dropped, the rest taken", zap.Error(bad[0]), zap.Int("entries", len(bad)),
-		zap.Uint64("so_far", c.BadEntries))
+	c.log.Warn("discovery: invalid entry ignored, others applied", zap.Error(bad[0]), zap.Int("entries", len(bad)),
+		zap.Uint64("total", c.BadEntries))
 }
 
 // apply puts a version of the list from address in force. OnVersion is called last: restrictions that it lifts stay in
@@ -166,7 +166,7 @@
 			delete(c.entries, entry.UID)
 		}
 	}
-	c.log.Info("director: list", zap.Int64("rev", list.Revision), zap.Bool("all", list.Full), zap.Int("entries", len(members)))
+	c.log.Info("discovery: list updated", zap.Int64("rev", list.Revision), zap.Bool("full", list.Full), zap.Int("entries", len(members)))
 	c.dispatcher.UpdateMembers(kind, members)
 	if c.OnVersion != nil {
 		c.OnVersion(address, list.Revision, cached, list.Entries)
--- a/internal/dispatcher/httpfront/discovery_watch.go
+++ b/internal/dispatcher/httpfront/discovery_watch.go
@@ -56,7 +56,7 @@
 func (w *watch) fail(err error) {
 	client := w.client
 	w.close()
-	client.log.Warn("director: watch ended, asking again",
+	client.log.Warn("discovery: watch ended, reconnecting",
 		zap.Stringer("discovery", w.address),
 		zap.Int64("rev", client.revision),
 		zap.Error(err))
@@ -143,7 +143,7 @@
 	client.pending = nil
 	client.failures = 0
 	w.fetchingList = false
-	client.log.Info("director: moved", zap.Stringer("discovery", w.address), zap.Int64("rev", list.Revision))
+	client.log.Info("discovery: switched to the new address", zap.Stringer("discovery", w.address), zap.Int64("rev", list.Revision))
 	client.countBadEntries(bad)
 	client.apply(w.address, list, loadbalancer.ListFull)
 	client.notifyFirstContact()
@@ -231,7 +231,7 @@
 	}
 	if err != nil {
 		client.BadLines++
-		client.log.Warn("director: bad line, old list kept", zap.Error(err), zap.Int("bytes", len(line)))
+		client.log.Warn("discovery: invalid update ignored, keeping the current list", zap.Error(err), zap.Int("bytes", len(line)))
 		return err
 	}
 	client.countBadEntries(bad)
--- a/internal/dispatcher/httpfront/pool.go
+++ b/internal/dispatcher/httpfront/pool.go
@@ -54,7 +54,7 @@
 	if b == nil {
 		b = &backend{pool: p, uid: uid}
 		p.backends[id] = b
-		p.log.Info("director: backend", zap.String("uid", uid), zap.Uint32("worker", uint32(id)), zap.Stringer("endpoint", address))
+		p.log.Info("discovery: backend added", zap.String("uid", uid), zap.Uint32("worker", uint32(id)), zap.Stringer("endpoint", address))
 	}
 	if address.IsValid() && address != b.address {
 		b.closeIdle()
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -196,7 +196,7 @@
 func (s *session) rejectMalformed(status int, reason string) {
 	s.front.Malformed++
 	if s.front.mayLog("malformed") {
-		s.front.log.Warn("client session: malformed request", zap.String("reason", reason), zap.Uint64("so_far", s.front.Malformed))
+		s.front.log.Warn("client session: malformed request", zap.String("reason", reason), zap.Uint64("total", s.front.Malformed))
 	}
 	s.closeAfterReply = true
 	s.reply(status, "", []byte(reason+"\n"))
--- a/internal/dispatcher/httpfront/session_serve.go
+++ b/internal/dispatcher/httpfront/session_serve.go
@@ -40,7 +40,7 @@
 	if err != nil || request.Method != "POST" {
 		s.front.BadCallbacks++
 		if s.front.mayLog("news") {
-			s.front.log.Warn("backend: bad call-back", zap.Error(err), zap.Uint64("so_far", s.front.BadCallbacks))
+			s.front.log.Warn("backend: invalid callback", zap.Error(err), zap.Uint64("total", s.front.BadCallbacks))
 		}
 		s.reply(400, "", nil)
 		return
--- a/internal/dispatcher/server/audit_log.go
+++ b/internal/dispatcher/server/audit_log.go
@@ -41,7 +41,7 @@
 	if options.Path == "" || s.auditLog != nil && sameLogFile(options, s.auditLogFile) {
 		return nil, nil
 	}
-	options.Report = func(err error) { s.log.Warn("fleet: ledger", zap.Error(err)) }
+	options.Report = func(err error) { s.log.Warn("audit log: I/O error", zap.Error(err)) }
 	opened, err := auditlog.Open(options, s.config.Name, auditlog.GenerationName(s.startedAt))
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: fleet.ledger: %w", err)
--- a/internal/dispatcher/server/cluster.go
+++ b/internal/dispatcher/server/cluster.go
@@ -59,7 +59,7 @@
 		InstanceKeys: share.Keys,
 	})
 	if err != nil {
-		s.log.Error("program: instance share not applied", zap.Error(err))
+		s.log.Error("balancer: instance share rejected, keeping the previous one", zap.Error(err))
 		return
 	}
 	s.discovery.Instances = share.Instances
--- a/internal/dispatcher/server/cluster_admin.go
+++ b/internal/dispatcher/server/cluster_admin.go
@@ -32,7 +32,7 @@
 		reply(409, err.Error())
 		return
 	}
-	s.log.Info("program: a member was declared gone", zap.String("member", member))
+	s.log.Info("admin: member declared permanently gone", zap.String("member", member))
 	reply(200, "done")
 }
 
@@ -47,7 +47,7 @@
 			reply(409, err.Error())
 			return
 		}
-		s.log.Info("program: order", zap.String("member", member), zap.Bool("out", out))
+		s.log.Info("admin: order issued to member", zap.String("member", member), zap.Bool("out", out))
 		reply(200, "done")
 	}
 }
--- a/internal/dispatcher/server/cluster_lease_test.go
+++ b/internal/dispatcher/server/cluster_lease_test.go
@@ -298,7 +298,7 @@
 	}
 	before := reloadedVersion(reloaded)
 	reloaded.WriteConfig(reloaded.OperatorConfig() + "[telemetry]\nevery_s = 5\n")
-	reloaded.Reload("program: reloaded")
+	reloaded.Reload("server: configuration reloaded")
 	for _, m := range r.Members {
 		r.Eventually("another operator's file is seen", func() bool {
 			return reloadedVersion(m) != "" && reloadedVersion(m) != before
--- a/internal/dispatcher/server/cluster_reload.go
+++ b/internal/dispatcher/server/cluster_reload.go
@@ -64,7 +64,7 @@
 			Index:     s.config.balancerSettings.Instance,
 			Fraction:  1,
 		})
-		s.log.Info("program: fleet switched off; shares are as configured")
+		s.log.Info("membership: disabled, using the configured instance shares")
 	case s.cluster == nil:
 		s.joinCluster(options, change.socket, change.auditLog)
 	case s.cluster.SameIdentity(options):
--- a/internal/dispatcher/server/cluster_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -36,14 +36,14 @@
 	return processcluster.Start(t, o)
 }
 
-var foundDead = regexp.MustCompile(`"member": "([^"]+)", "is": "dead"`)
+var foundDead = regexp.MustCompile(`"member": "([^"]+)", "state": "dead"`)
 
 // falselyDead lists which member found which other one dead although its process ran. One that got no processor time for so
 // long that it reports the pause itself was rightly found.
 func falselyDead(r *processcluster.Cluster) (all []string) {
 	stalled := map[string]bool{}
 	for _, m := range r.Members {
-		stalled[m.Name] = stalled[m.Name] || strings.Contains(m.LogText(), "this process has stood still")
+		stalled[m.Name] = stalled[m.Name] || strings.Contains(m.LogText(), "process was paused")
 	}
 	for _, m := range r.Members {
 		for _, found := range foundDead.FindAllStringSubmatch(m.LogText(), -1) {
@@ -91,7 +91,7 @@
 	leaver.Terminate()
 	t.Logf("held to have left by all after %v", r.Eventually("left", allReport(r, leaver.Name, "left")))
 	for _, m := range r.RunningMembers() {
-		if text := m.LogText(); strings.Contains(text, fmt.Sprintf(`"member": %q, "is": "dead"`, leaver.Name)) {
+		if text := m.LogText(); strings.Contains(text, fmt.Sprintf(`"member": %q, "state": "dead"`, leaver.Name)) {
 			t.Errorf("%s held %s for dead, which had said that it leaves", m.Name, leaver.Name)
 		}
 	}
@@ -136,7 +136,7 @@
 	if got := generationOf(m, m.Name); got != generation || generation == 0 {
 		t.Errorf("it came back as another: generation %d, not %d", got, generation)
 	}
-	if !strings.Contains(m.LogText(), "this process has stood still") {
+	if !strings.Contains(m.LogText(), "process was paused") {
 		t.Error("the paused process did not report the pause")
 	}
 	for _, wrong := range falselyDead(r) { // the paused member itself was rightly found
@@ -214,7 +214,7 @@
 	time.Sleep(15 * time.Second)
 	refuted := 0
 	for _, m := range r.Members {
-		refuted += strings.Count(m.LogText(), `"is": "alive"`)
+		refuted += strings.Count(m.LogText(), `"state": "alive"`)
 	}
 	t.Logf("under loss: %d records of members found alive again at %d members in 75 periods", refuted, n)
 	for _, wrong := range falselyDead(r) {
@@ -374,7 +374,7 @@
 	m := r.Members[2]
 	with := m.OperatorConfig()
 	m.WriteConfig("")
-	m.Reload("fleet switched off")
+	m.Reload("membership: disabled")
 	r.Eventually("the others know that it has left", func() bool {
 		return r.Members[0].StateOf(m.Name) == "left" && r.Members[1].StateOf(m.Name) == "left"
 	})
@@ -382,10 +382,10 @@
 		t.Errorf("/api/fleet answers %d though the section is off", code)
 	}
 	m.WriteConfig(with)
-	m.Reload("program: reloaded")
+	m.Reload("server: configuration reloaded")
 	r.WaitConverged(3)
 	m.WriteConfig(strings.Replace(with, "period_s", "priod_s", 1))
-	m.Reload("reload refused")
+	m.Reload("reload rejected")
 	if !strings.Contains(m.LogText(), "fleet.priod_s: unknown key") {
 		t.Error("the bad key is not named")
 	}
@@ -394,23 +394,23 @@
 	r.WaitConverged(3)
 	moved := m.ChangeBindAddress()
 	m.WriteConfig(moved)
-	m.Reload("program: reloaded")
+	m.Reload("server: configuration reloaded")
 	r.WaitConverged(3)
 	if !strings.Contains(moved, m.BindAddress) || m.Status().Members[2].Address != m.Relay.Addr() {
 		t.Errorf("it did not move: %+v", m.Status().Members[2])
 	}
 	m.ClusterName = "other"
 	m.WriteConfig(m.OperatorConfig())
-	m.Reload("program: reloaded")
+	m.Reload("server: configuration reloaded")
 	r.Eventually("a fleet of its own", func() bool {
 		status := m.Status()
 		return status != nil && status.Cluster == "other" && len(status.Members) == 1
 	})
 	m.ClusterName = r.ClusterName
 	m.WriteConfig(strings.Replace(m.OperatorConfig(), m.BindAddress, m.BindAddress+`0"#`, 1)) // an invalid port
-	m.Reload("reload refused")
+	m.Reload("reload rejected")
 	m.WriteConfig(m.OperatorConfig())
-	m.Reload("program: reloaded")
+	m.Reload("server: configuration reloaded")
 	r.WaitConverged(3)
 	r.Check()
 }
--- a/internal/dispatcher/server/cluster_versions_test.go
+++ b/internal/dispatcher/server/cluster_versions_test.go
@@ -60,7 +60,7 @@
 			cut.DiscoveryLink().SetLink(receivers.Link{})
 			r.Eventually("its own discovery has told it", func() bool {
 				s := cut.Status()
-				return s != nil && len(s.Restrictions) == 0 && strings.Contains(cut.LogText(), "nothing is withheld any more")
+				return s != nil && len(s.Restrictions) == 0 && strings.Contains(cut.LogText(), "all restrictions lifted")
 			})
 			after := drains.JobsFrom(cut)
 			confirmed := quietPeriod{sender: cut, runner: drains, from: time.Now()}
@@ -154,7 +154,7 @@
 }
 
 // lookedAgain is logged when a process sends again after a pause.
-const lookedAgain = "looked again after a sleep"
+const lookedAgain = "resumed after process pause"
 
 // health returns the status of a member's health check; 0 if there is no answer.
 func health(m *processcluster.Member) int {
--- a/internal/dispatcher/server/exclusions.go
+++ b/internal/dispatcher/server/exclusions.go
@@ -62,27 +62,27 @@
 		saved, err = parseExclusions(text)
 	}
 	if err != nil {
-		s.log.Error("program: kept exclusions make no sense, none taken", zap.String("file", path), zap.Error(err))
+		s.log.Error("exclusions: saved file is invalid, none restored", zap.String("file", path), zap.Error(err))
 		return
 	}
 	s.dispatcher.ApplyExclusions(saved.Exclusions)
-	s.log.Info("program: exclusions restored", zap.Int("members", len(saved.Exclusions)))
+	s.log.Info("exclusions: restored", zap.Int("members", len(saved.Exclusions)))
 }
 
 // parseExclusions reads a file of exclusions and checks every entry.
 func parseExclusions(text []byte) (saved savedExclusions, err error) {
 	if len(text) > maxExclusionsBytes {
-		return saved, errors.New("program: exclusions: too long")
+		return saved, errors.New("exclusions: too long")
 	}
 	if err := json.Unmarshal(text, &saved); err != nil {
-		return saved, fmt.Errorf("program: exclusions: %w", err)
+		return saved, fmt.Errorf("exclusions: %w", err)
 	}
 	if saved.Version != exclusionsVersion {
-		return saved, fmt.Errorf("program: exclusions: version %d", saved.Version)
+		return saved, fmt.Errorf("exclusions: version %d", saved.Version)
 	}
 	for name, exclusion := range saved.Exclusions {
 		if name == "" || !plausible(exclusion) {
-			return saved, fmt.Errorf("program: exclusions: bad entry %q", name)
+			return saved, fmt.Errorf("exclusions: bad entry %q", name)
 		}
 	}
 	return saved, nil
--- a/internal/dispatcher/server/harness_test.go
+++ b/internal/dispatcher/server/harness_test.go
@@ -193,7 +193,7 @@
 	if o.startOnly {
 		return
 	}
-	h.awaitLog("serving", "program: serving")
+	h.awaitLog("serving", "server: serving")
 	h.eventually("healthy", func() bool {
 		r, err := h.client.Get("http://" + h.addr + "/_health")
 		if err != nil {
--- a/internal/dispatcher/server/jobs_test.go
+++ b/internal/dispatcher/server/jobs_test.go
@@ -149,12 +149,12 @@
 	// An entry that makes no sense holds up neither the others nor the watch, and takes no backend off the list.
 	bad := `{"uid":"s-1","endpoint":"x","state":"ready"}`
 	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[` + runners[0].target("draining", 0) + `,` + bad + `]}`)
-	w.awaitLog("bad entry", "bad entry dropped")
+	w.awaitLog("bad entry", "invalid entry ignored")
 	if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 		t.Errorf("after a bad entry: %d %q", status, body)
 	}
 	w.sendDiscoveryLine(`{"rev":3,"all":true,"targets":[{"uid":""}]}`)
-	w.awaitLog("bad line", "old list kept")
+	w.awaitLog("bad line", "keeping the current list")
 	for range 5 {
 		if status, body, _ := w.requestJob("score", 4000); status != 200 || body != "s-1" {
 			t.Errorf("answer %d %q", status, body)
@@ -341,7 +341,7 @@
 	go ask()
 	w.eventually("first job", func() bool { return u.jobs() == 1 })
 	exit := w.terminate()
-	w.awaitLog("told", "stopping")
+	w.awaitLog("told", "shutting down")
 	go ask() // clients still arrive for a moment
 	w.eventually("second job", func() bool { return u.jobs() == 2 })
 	time.Sleep(600 * time.Millisecond) // past the moment in which idle sessions are closed
--- a/internal/dispatcher/server/operator.go
+++ b/internal/dispatcher/server/operator.go
@@ -95,7 +95,7 @@
 		return
 	}
 	if err := s.applyOrder(order); err != nil {
-		s.log.Error("program: order not carried out", zap.String("what", order.Action), zap.Error(err))
+		s.log.Error("admin: failed to apply order", zap.String("action", order.Action), zap.Error(err))
 		reply(500, err.Error())
 		return
 	}
@@ -105,7 +105,7 @@
 // applyOrder carries an order out in this process. Exclusions are saved before they are applied, since an order that was
 // acknowledged must outlive the process.
 func (s *Server) applyOrder(order operatorOrder) error {
-	s.log.Info("program: "+order.Action, zap.String("member", order.Member))
+	s.log.Info("admin: applying order "+order.Action, zap.String("member", order.Member))
 	switch order.Action {
 	case actionEvacuate, actionRejoin:
 		s.setEvacuated(order.Action == actionEvacuate, s.loop.Now())
--- a/internal/dispatcher/server/operator_test.go
+++ b/internal/dispatcher/server/operator_test.go
@@ -230,7 +230,7 @@
 		w.awaitLog("the change", fmt.Sprintf(`"rev": %d`, 10+i))
 		w.expectUnused(line, out)
 	}
-	w.reload("program: reloaded")
+	w.reload("server: configuration reloaded")
 	w.expectUnused("after a reload", out)
 	w.awaitCallbacks()
 	w.cmd.Process.Kill()
--- a/internal/dispatcher/server/pause.go
+++ b/internal/dispatcher/server/pause.go
@@ -53,7 +53,7 @@
 
 // handleLeaseChange rejects new jobs while this dispatcher is out of its lease.
 func (s *Server) handleLeaseChange(out bool, why string) {
-	s.log.Warn("program: lease", zap.Bool("out", out), zap.String("why", why))
+	s.log.Warn("server: lease changed", zap.Bool("out", out), zap.String("reason", why))
 	s.recordAudit(auditlog.Entry{Kind: auditlog.LeaseChanged, Out: out, Reason: why})
 	s.updateAdmission()
 }
@@ -70,7 +70,7 @@
 func (s *Server) resumeSending() {
 	if s.resumingSince > 0 {
 		s.resumeTimer.Stop()
-		s.log.Info("program: looked again after a sleep", zap.Float64("after_s", s.loop.Now()-s.resumingSince))
+		s.log.Info("server: resumed after process pause", zap.Float64("after_s", s.loop.Now()-s.resumingSince))
 		s.resumingSince = 0
 		s.resumeTimedOut = false
 		s.recordAudit(auditlog.Entry{Kind: auditlog.Resumed})
--- a/internal/dispatcher/server/reload.go
+++ b/internal/dispatcher/server/reload.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		clusterChange.close()
 		s.Reloads.Rejected++
-		s.log.Error("program: reload refused, old configuration kept", zap.Error(err))
+		s.log.Error("server: reload rejected, keeping the current configuration", zap.Error(err))
 		return
 	}
 	s.Reloads.Applied++
@@ -48,7 +48,7 @@
 	if config.discovery.IsValid() {
 		s.discovery.SetAddress(config.discovery)
 	}
-	s.log.Info("program: reloaded",
+	s.log.Info("server: configuration reloaded",
 		zap.String("discovery", config.Discovery),
 		zap.Int("sockets", config.Limits.Sockets),
 		zap.Int("memory_mb", config.Limits.MemoryMB),
--- a/internal/dispatcher/server/reload_test.go
+++ b/internal/dispatcher/server/reload_test.go
@@ -71,7 +71,7 @@
 	rejectInvalidFile(t, w, other)
 	w.expectResult("s-0")
 	moveDiscovery(t, w, other)
-	w.reload("program: reloaded") // nothing has changed: no new watch
+	w.reload("server: configuration reloaded") // nothing has changed: no new watch
 	w.expectResult("s-1")
 	if text := w.log.String(); len(other.asked) > 0 || strings.Count(text, `"needs_restart": ["name"]`) != 2 {
 		t.Errorf("asked %d times more, log:\n%s", len(other.asked), text)
@@ -83,7 +83,7 @@
 func rejectInvalidFile(t *testing.T, w *harness, other *otherDiscovery) {
 	t.Helper()
 	w.configure("discovery", other.address, "seed", "no number")
-	w.reload("reload refused, old configuration kept")
+	w.reload("reload rejected, keeping the current configuration")
 	if len(other.asked) > 0 || strings.Count(w.log.String(), "reload") != 1 {
 		t.Fatalf("%d asked after a bad file, log:\n%s", len(other.asked), w.log)
 	}
@@ -93,7 +93,7 @@
 func moveDiscovery(t *testing.T, w *harness, other *otherDiscovery) {
 	t.Helper()
 	w.configure("seed", "2", "name", "n9", "limits", map[string]any{"cores": 1, "memory_mb": 64, "sockets": 300})
-	w.reload("program: reloaded")
+	w.reload("server: configuration reloaded")
 	<-other.asked
 	w.discovery.CloseClientConnections() // the old address ends before the new one answers
 	w.awaitLog("the old watch has ended", "watch ended")
@@ -116,7 +116,7 @@
 func reloadWhileDraining(t *testing.T, w *harness) {
 	t.Helper()
 	exit := w.terminate()
-	w.awaitLog("stopping", "program: stopping")
+	w.awaitLog("stopping", "server: shutting down")
 	w.configure("discovery", strings.TrimPrefix(w.discovery.URL, "http://"))
 	w.cmd.Process.Signal(syscall.SIGHUP)
 	if err := <-exit; err != nil {
@@ -148,10 +148,10 @@
 	}
 	few := strings.Replace(string(good), "max_jobs = 100", "max_jobs = 1", 1)
 	write(strings.Replace(few, `class = "once"`, `class = "nobody"`, 1))
-	g.reload("reload refused, old configuration kept")
+	g.reload("reload rejected, keeping the current configuration")
 	submit("b", gm.JobCreated)
 	write(strings.Replace(few, `name = "once"`, `name = "other"`, 1))
-	g.reload("program: reloaded")
+	g.reload("server: configuration reloaded")
 	submit("c", gm.Error)
 	if !strings.Contains(g.log.String(), `"needs_restart": ["gearman functions"]`) {
 		t.Errorf("log:\n%s", g.log)
--- a/internal/dispatcher/server/reporting.go
+++ b/internal/dispatcher/server/reporting.go
@@ -121,9 +121,9 @@
 	})
 }
 
-// logError returns a function that logs errors of what, from any goroutine.
-func (r *reporting) logError(what string) func(error) {
-	return func(err error) { r.server.log.Warn("telemetry: "+what, zap.Error(err)) }
+// logError returns a function that logs errors under a message, from any goroutine.
+func (r *reporting) logError(message string) func(error) {
+	return func(err error) { r.server.log.Warn("telemetry: "+message, zap.Error(err)) }
 }
 
 // start starts to close periods, continuing the totals of earlier processes if a spool holds them.
@@ -144,16 +144,16 @@
 	settings := r.operatorConfig.Telemetry
 	name := filepath.Base(r.server.config.Name + "-" + r.server.config.Listen)
 	go func() {
-		opened, found, err := spool.Open(settings.SpoolDir, name, settings.SpoolBytes, r.logError("spool"))
+		opened, found, err := spool.Open(settings.SpoolDir, name, settings.SpoolBytes, r.logError("spool I/O error"))
 		r.server.loop.Post(func() {
 			if err != nil {
-				r.server.log.Error("telemetry: no spool, totals do not outlive this process", zap.Error(err))
+				r.server.log.Error("telemetry: failed to open spool, totals will not survive a restart", zap.Error(err))
 				found = &spool.Recovered{}
 			} else {
-				r.server.log.Info("telemetry: spool",
+				r.server.log.Info("telemetry: spool opened",
 					zap.Int("periods", len(found.Periods)),
 					zap.Int("torn_files", found.TornFiles),
-					zap.Int("strange_files", found.UnknownFiles),
+					zap.Int("unknown_files", found.UnknownFiles),
 				)
 				r.spool = opened
 				r.exporter.SetSpool(opened)
@@ -195,6 +195,6 @@
 	select {
 	case <-done:
 	case <-time.After(closeTimeout):
-		r.server.log.Error("telemetry: the disk hangs, exiting without the last writes")
+		r.server.log.Error("telemetry: disk write timed out, exiting without the last writes")
 	}
 }
--- a/internal/dispatcher/server/reporting_agreement_test.go
+++ b/internal/dispatcher/server/reporting_agreement_test.go
@@ -93,7 +93,7 @@
 	load.Go(s.runFifth)
 	old := s.groups[0].harness
 	next = old.startSuccessor(s.firstOptions)
-	old.awaitLog("the old one leaves", "takes the clients")
+	old.awaitLog("the old one leaves", "handing over clients")
 	exit = old.terminate()
 	load.Wait()
 	return next, exit
--- a/internal/dispatcher/server/reporting_handover.go
+++ b/internal/dispatcher/server/reporting_handover.go
@@ -99,7 +99,7 @@
 // send sends a message to the successor. A failure is logged: the link reports its own end.
 func (r *reporting) send(message metricsMessage) {
 	if err := r.successor.Send(handover.Metrics, message); err != nil {
-		r.server.log.Error("telemetry: totals could not be sent to the next process", zap.Error(err))
+		r.server.log.Error("telemetry: failed to send totals to the new process", zap.Error(err))
 	}
 }
 
@@ -163,13 +163,13 @@
 func (r *reporting) receiveMetrics(body []byte) error {
 	var message metricsMessage
 	if err := json.Unmarshal(body, &message); err != nil {
-		return fmt.Errorf("program: metrics of the process before: %w", err)
+		return fmt.Errorf("upgrade: metrics of the previous process: %w", err)
 	}
 	if !r.delivers() {
-		return errors.New("program: metrics of the process before, but none are reported here")
+		return errors.New("upgrade: metrics of the previous process, but none are reported here")
 	}
 	if message.Complete != r.awaitsTotals {
-		return errors.New("program: metrics of the process before: message out of sequence")
+		return errors.New("upgrade: metrics of the previous process: message out of sequence")
 	}
 	r.metrics.AddTotals(message.Counts)
 	r.metrics.MergeLatencies(message.Latencies)
--- a/internal/dispatcher/server/reporting_reload.go
+++ b/internal/dispatcher/server/reporting_reload.go
@@ -40,7 +40,7 @@
 			Incarnation:    auditlog.GenerationName(r.server.startedAt),
 			Classes:        r.server.config.classNames(),
 			NodeSlot:       r.metrics.NodeSlot,
-			Report:         r.logError("request log"),
+			Report:         r.logError("request log I/O error"),
 		})
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: request_log.path: %w", err)
--- a/internal/dispatcher/server/reporting_test.go
+++ b/internal/dispatcher/server/reporting_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	write(string(text) + "colour = \"red\"\n")
-	c.harness.reload("reload refused")
+	c.harness.reload("reload rejected")
 	if !strings.Contains(c.harness.log.String(), "request_log.colour: unknown key") {
 		t.Error("no word of what was wrong")
 	}
@@ -114,7 +114,7 @@
 	t.Cleanup(fresh.Stop)
 	moved := strings.ReplaceAll(strings.ReplaceAll(string(text), s.carbon.Addr(), fresh.Addr()), "n0.log", "moved.log")
 	write(moved)
-	c.harness.reload("program: reloaded")
+	c.harness.reload("server: configuration reloaded")
 	c.requestJobs(20, 2, &tally)
 	c.harness.eventually("60 answers at the new one", func() bool { return answers(&fresh.Store) == 60 })
 	c.harness.eventually("lines in the new log", func() bool {
@@ -171,7 +171,7 @@
 	var tally [600]atomic.Int64
 	c.requestJobs(10, 1, &tally)
 	c.harness.eventually("10 answers", func() bool { return answers(&s.carbon.Store) == 10 })
-	if !strings.Contains(c.harness.log.String(), "no spool") {
+	if !strings.Contains(c.harness.log.String(), "failed to open spool") {
 		t.Error("no word of the spool")
 	}
 	bad := filepath.Join(s.dir, "bad.toml")
--- a/internal/dispatcher/server/server.go
+++ b/internal/dispatcher/server/server.go
@@ -109,9 +109,9 @@
 	if s.exitErr != nil {
 		return s.exitErr
 	}
-	log.Info("program: ended", zap.Any("counts", s.dispatcher.Counts()))
+	log.Info("server: stopped", zap.Any("counts", s.dispatcher.Counts()))
 	if s.gearman != nil {
-		log.Info("program: gearman ended", zap.Any("counts", s.gearman.Totals()))
+		log.Info("gearman: stopped", zap.Any("counts", s.gearman.Totals()))
 	}
 	return nil
 }
@@ -145,7 +145,7 @@
 	if s.dispatcher, err = dispatch.New(config.balancerSettings, config.seed, clock{loop}); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	s.dispatcher.Log = func(line string) { log.Info("brain: " + line) }
+	s.dispatcher.Log = func(line string) { log.Info("balancer: " + line) }
 	s.connectDispatcher()
 	if s.reporting, err = newReporting(s); err != nil {
 		return nil, err
@@ -220,7 +220,7 @@
 		return err
 	}
 	s.serving = true
-	s.log.Info("program: serving",
+	s.log.Info("server: serving",
 		zap.String("name", s.config.Name),
 		zap.String("listen", s.config.Listen),
 		zap.String("discovery", s.config.Discovery),
--- a/internal/dispatcher/server/shutdown.go
+++ b/internal/dispatcher/server/shutdown.go
@@ -22,7 +22,7 @@
 		return
 	}
 	s.stopping = true
-	s.log.Info("program: stopping", zap.String("signal", signal), zap.Int("open", s.dispatcher.Counts().OpenRequests))
+	s.log.Info("server: shutting down", zap.String("signal", signal), zap.Int("open", s.dispatcher.Counts().OpenRequests))
 	if s.upgrade.successorServes() { // which gets the new clients, and the sessions as they become idle
 		s.exitWhenDone()
 		return
--- a/internal/dispatcher/server/upgrade.go
+++ b/internal/dispatcher/server/upgrade.go
@@ -123,7 +123,7 @@
 func (u *upgrade) predecessorDown(err error) {
 	s := u.server
 	u.predecessor = nil
-	s.log.Info("program: the process before has gone", zap.Bool("told", u.stateReceived), zap.Error(err))
+	s.log.Info("upgrade: connection to the previous process closed", zap.Bool("state_received", u.stateReceived), zap.Error(err))
 	if u.stateReceived {
 		s.reporting.predecessorLost()
 		return
@@ -137,10 +137,10 @@
 	s := u.server
 	u.successor = nil
 	if !u.clientsHandedOver {
-		s.log.Warn("program: the next process has gone before it took over", zap.Error(err))
+		s.log.Warn("upgrade: lost the new process before the handover", zap.Error(err))
 		return
 	}
-	s.log.Warn("program: the next process has gone, taking back", zap.Error(err))
+	s.log.Warn("upgrade: lost the new process after the handover, resuming service", zap.Error(err))
 	u.clientsHandedOver = false
 	u.sessionsInTransit = 0
 	s.front.SetSuccessor(nil)
@@ -163,7 +163,7 @@
 	case link == u.successor && kind == handover.Hello:
 		var greeting hello
 		if err := json.Unmarshal(body, &greeting); err != nil {
-			return fmt.Errorf("program: hello: %w", err)
+			return fmt.Errorf("upgrade: hello: %w", err)
 		}
 		u.handsOverMetrics = greeting.TakesMetrics && u.server.reporting.delivers()
 		return u.sendState()
@@ -181,7 +181,7 @@
 	case link == u.predecessor && kind == handover.Session && u.stateReceived:
 		return u.adoptSession(body)
 	default:
-		return fmt.Errorf("program: frame of kind %d out of turn", kind)
+		return fmt.Errorf("upgrade: frame of kind %d out of turn", kind)
 	}
 	return nil
 }
--- a/internal/dispatcher/server/upgrade_predecessor.go
+++ b/internal/dispatcher/server/upgrade_predecessor.go
@@ -23,7 +23,7 @@
 	u.predecessor = handover.Connect(u.server.loop, u.socketPath, u)
 	u.deadline = u.server.loop.At(u.server.loop.Now()+stateTimeout, func() {
 		u.predecessor.Close()
-		u.HandleDown(u.predecessor, fmt.Errorf("program: no state within %.0f s", stateTimeout))
+		u.HandleDown(u.predecessor, fmt.Errorf("upgrade: no state within %.0f s", stateTimeout))
 	})
 	return true
 }
@@ -39,7 +39,7 @@
 	u.stateReceived = true
 	server.applyLimits()
 	server.dispatcher.ApplyExclusions(received.Exclusions)
-	server.log.Info("program: told by the process before",
+	server.log.Info("upgrade: received state from the previous process",
 		zap.Int64("rev", received.Membership.Revision),
 		zap.Int("members_out", server.dispatcher.ExcludedCount()),
 	)
@@ -48,7 +48,7 @@
 	}
 	server.reporting.awaitPredecessor(received.SendsMetrics)
 	if err := server.dispatcher.Restore(received.Balancer); err != nil {
-		server.log.Warn("program: what the process before has learnt is of no use", zap.Error(err))
+		server.log.Warn("upgrade: failed to restore the load balancer state of the previous process", zap.Error(err))
 	}
 	if server.config.discovery.IsValid() {
 		addr, _ := netip.ParseAddrPort(received.Discovery)
@@ -75,14 +75,14 @@
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("program: state: %w", err)
+		return fmt.Errorf("upgrade: state: %w", err)
 	}
 	if err := state.Membership.Validate(); err != nil {
-		return fmt.Errorf("program: state: %w", err)
+		return fmt.Errorf("upgrade: state: %w", err)
 	}
 	text, err := json.Marshal(savedExclusions{exclusionsVersion, state.Exclusions})
 	if err != nil {
-		return fmt.Errorf("program: state: %w", err)
+		return fmt.Errorf("upgrade: state: %w", err)
 	}
 	_, err = parseExclusions(text)
 	return err
@@ -132,7 +132,7 @@
 		return u.server.front.Adopt(session, c)
 	})
 	if err != nil {
-		u.server.log.Warn("program: a session could not be taken over", zap.Error(err))
+		u.server.log.Warn("upgrade: failed to take over client session", zap.Error(err))
 	}
 	return u.predecessor.Send(handover.SessionReceived, struct{}{})
 }
--- a/internal/dispatcher/server/upgrade_queries.go
+++ b/internal/dispatcher/server/upgrade_queries.go
@@ -26,7 +26,7 @@
 			err = u.server.applyOrder(order)
 		}
 		if err != nil {
-			u.server.log.Error("program: order of the other process not carried out", zap.Error(err))
+			u.server.log.Error("upgrade: failed to apply order of the other process", zap.Error(err))
 			answer(false)
 			return
 		}
@@ -73,7 +73,7 @@
 func (u *upgrade) forwardOrder(order operatorOrder, except *handover.Link, done func()) {
 	body, err := json.Marshal(order)
 	if err != nil {
-		u.server.log.Error("program: order", zap.Error(err))
+		u.server.log.Error("upgrade: failed to encode order", zap.Error(err))
 		done()
 		return
 	}
--- a/internal/dispatcher/server/upgrade_successor.go
+++ b/internal/dispatcher/server/upgrade_successor.go
@@ -13,7 +13,7 @@
 func (u *upgrade) listenForSuccessor() {
 	listener, err := u.server.loop.ListenUnix(u.socketPath, maxUpgradeConns, func() bool { return false }, u.acceptSuccessor)
 	if err != nil {
-		u.server.log.Error("program: no upgrade will find this process", zap.Error(err))
+		u.server.log.Error("upgrade: failed to listen for a new process", zap.Error(err))
 		return
 	}
 	u.listener = listener
@@ -46,7 +46,7 @@
 		Balancer:       server.dispatcher.Snapshot(),
 		SendsMetrics:   u.handsOverMetrics,
 	}
-	server.log.Info("program: telling the next process", zap.Int64("rev", list.Revision), zap.Int("members", len(list.Entries)))
+	server.log.Info("upgrade: sending state to the new process", zap.Int64("rev", list.Revision), zap.Int("members", len(list.Entries)))
 	if server.gearman == nil || !server.serving {
 		return u.successor.Send(handover.State, message)
 	}
@@ -62,7 +62,7 @@
 // handOverClients stops accepting clients, which are the successor's from now on.
 func (u *upgrade) handOverClients() {
 	server := u.server
-	server.log.Info("program: the next process takes the clients",
+	server.log.Info("upgrade: handing over clients to the new process",
 		zap.Int("sessions", server.front.SessionCount()),
 		zap.Int("open", server.dispatcher.Counts().OpenRequests),
 	)
@@ -91,7 +91,7 @@
 	u.sessionsInTransit++
 	u.SessionsPassed++
 	if err := u.successor.SendDescriptor(handover.Session, session, in, fd); err != nil {
-		u.server.log.Error("program: a session could not be passed on", zap.Error(err))
+		u.server.log.Error("upgrade: failed to hand over client session", zap.Error(err))
 	}
 	return true
 }
--- a/internal/dispatcher/server/upgrade_test.go
+++ b/internal/dispatcher/server/upgrade_test.go
@@ -134,7 +134,7 @@
 	if !strings.Contains(next.log.String(), `"members_out": 1`) {
 		s.t.Error("the new one has not taken over who is out")
 	}
-	s.first.awaitLog("the old one leaves", "takes the clients")
+	s.first.awaitLog("the old one leaves", "handing over clients")
 	postJob(s.rested, "a", "r1", "")
 	checkServed(s.t, "a session that had rested", s.rested)
 	postJob(s.halfway, "a", "h0", s.halfSent)
@@ -149,7 +149,7 @@
 func (s *upgradeScenario) changeExclusions(next *harness) {
 	s.t.Helper()
 	next.callAdmin(200, "PUT", "/api/exclude", `{"member":"s-c"}`) // the predecessor is informed, too
-	s.first.awaitLog("the old one obeys", `program: exclude	{"member": "s-c"}`)
+	s.first.awaitLog("the old one obeys", `admin: applying order exclude	{"member": "s-c"}`)
 	next.callAdmin(200, "PUT", "/api/include", `{"member":"s-c"}`)
 	for range 20 { // enough to find an excluded worker that is used
 		if status, _, _ := next.requestJob("score", 4000); status != 200 {
@@ -224,8 +224,8 @@
 func failSuccessors(t *testing.T, w *harness, o options) {
 	t.Helper()
 	for _, tc := range []struct{ frames, logged string }{
-		{string(handover.AppendFrame(nil, handover.Hello, []byte("{}"))), "gone before it took over"},
-		{string(handover.AppendFrame(nil, handover.Takeover, []byte("{}"))), "gone, taking back"},
+		{string(handover.AppendFrame(nil, handover.Hello, []byte("{}"))), "lost the new process before the handover"},
+		{string(handover.AppendFrame(nil, handover.Takeover, []byte("{}"))), "resuming service"},
 		{string(handover.AppendFrame(nil, handover.State, []byte("{}"))), "out of turn"},
 		{"R\x09", "another version"},
 	} {
@@ -234,8 +234,8 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, tc.frames)
-		if strings.Contains(tc.logged, "taking back") {
-			w.awaitLog("it leaves", "takes the clients")
+		if strings.Contains(tc.logged, "resuming service") {
+			w.awaitLog("it leaves", "handing over clients")
 		}
 		time.AfterFunc(50*time.Millisecond, func() { c.Close() })
 		w.awaitLog(tc.logged, tc.logged)
@@ -265,7 +265,7 @@
 	postJob(working, "mute", "w0", "")
 	<-mute
 	next := w.startSuccessor(o)
-	w.eventually("the old one leaves", func() bool { return strings.Count(w.log.String(), "takes the clients") == 2 })
+	w.eventually("the old one leaves", func() bool { return strings.Count(w.log.String(), "handing over clients") == 2 })
 	w.cmd.Process.Kill()
 	if got := readUntilClosed(working); got != "" {
 		t.Errorf("a job that died with its process was told %q", got)
@@ -354,7 +354,7 @@
 	}
 	defer successor.Close()
 	successor.Write(handover.AppendFrame(handover.AppendFrame(nil, handover.Hello, []byte("{}")), handover.Takeover, []byte("{}")))
-	w.awaitLog("it leaves", "takes the clients")
+	w.awaitLog("it leaves", "handing over clients")
 	for _, c := range back { // the successor's stay unread
 		body := `{"id":"x","from":"s-1","state":"started"}`
 		fmt.Fprintf(c, "POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -396,7 +396,7 @@
 	o.args = []string{"-gearman", g.file}
 	next := g.startSuccessor(o)
 	next.callAdmin(200, "GET", "/api/ready", "")
-	g.awaitLog("the old one leaves", "takes the clients")
+	g.awaitLog("the old one leaves", "handing over clients")
 	exit := g.terminate()
 	close(release)
 	if got := client.want(gm.WorkComplete).Args[1]; got != "did held" {
@@ -424,7 +424,7 @@
 	o.startOnly = true // it serves, but its health check fails
 	next := w.startSuccessor(o)
 	next.eventually("it takes over", func() bool {
-		return strings.Contains(w.log.String(), "takes the clients") && strings.Contains(next.log.String(), "program: serving")
+		return strings.Contains(w.log.String(), "handing over clients") && strings.Contains(next.log.String(), "server: serving")
 	})
 	next.callAdmin(200, "GET", "/api/ready", "")
 	w.callAdmin(503, "GET", "/api/ready", "")
--- a/internal/dispatcher/server/versions.go
+++ b/internal/dispatcher/server/versions.go
@@ -85,7 +85,7 @@
 			state = loadbalancer.Draining
 		}
 		restrictions[worker] = dispatch.Restriction{State: state, StartedAt: float64(restriction.Start) / 1000}
-		s.log.Info("versions: withheld on a peer's word",
+		s.log.Info("versions: worker restricted by a peer's update",
 			zap.String("worker", worker),
 			zap.Stringer("state", restriction.State),
 			zap.Int64("rev", restriction.Revision),
@@ -93,7 +93,7 @@
 		)
 	}
 	if len(restrictions) == 0 {
-		s.log.Info("versions: nothing is withheld any more")
+		s.log.Info("versions: all restrictions lifted")
 	}
 	s.dispatcher.SetRestrictions(restrictions)
 }
