--- a/cmd/cinderroad-dispatcher/cluster.go
+++ b/cmd/cinderroad-dispatcher/cluster.go
@@ -11,12 +11,12 @@
 	client := &consoleClient{}
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "What the dispatchers hold of one another",
+		Short: "Inspect and operate the cluster of dispatchers",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.PersistentFlags().StringVar(&client.console, "console", os.Getenv("ROUTER_CONSOLE"),
-		"second `ADDRESS` of a dispatcher; $ROUTER_CONSOLE is the default")
+		"`ADDRESS` of the admin server of a dispatcher; default: $ROUTER_CONSOLE")
 	c.AddCommand(
 		client.membersCommand(),
 		client.versionsCommand(),
--- a/cmd/cinderroad-dispatcher/cluster_audit.go
+++ b/cmd/cinderroad-dispatcher/cluster_audit.go
@@ -18,14 +18,14 @@
 )
 
 // errViolations ends the command with status 1 after the report is printed.
-var errViolations = errors.New("fleet: a rule was broken")
+var errViolations = errors.New("fleet: rules were violated")
 
-const clusterAuditHelp = `Audit the ledgers and request logs of many dispatchers, in any order, rotated ones among them.
+const clusterAuditHelp = `Check the audit logs and request logs of many dispatchers, in any order, including rotated files.
 
-Sets their clocks right against each other and tells when each took up which version of the list, who was late and why, what was
-sent by an old list, and which rules were broken: a send to a worker after its sender was told that it gets nothing new, ` +
-	`a send out of the lease.
-What is missing in the files is told, and the rest is read.`
+Aligns the clocks of the dispatchers and reports when each of them adopted each version of the list, which were late and why, which
+attempts were sent by an old list, and which rules were violated: an attempt sent to a worker after the sender had received its drain,
+an attempt sent while the sender was out of its lease.
+Missing entries are reported, and all others are checked.`
 
 // clusterAuditCommand returns the command that audits the audit logs and request logs of a cluster.
 func clusterAuditCommand() *cobra.Command {
@@ -34,7 +34,7 @@
 	plot := "" // path of a file; empty: none
 	c := &cobra.Command{
 		Use:   "audit FILE…",
-		Short: "Audit the ledgers and request logs of many dispatchers; status 1 if a rule was broken",
+		Short: "Check audit logs and request logs of many dispatchers; exit status 1 if a rule was violated",
 		Args:  cobra.MinimumNArgs(1),
 		Long:  clusterAuditHelp,
 		RunE: func(c *cobra.Command, files []string) error {
@@ -58,11 +58,11 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "all that was found, as JSON")
-	c.Flags().StringVar(&plot, "plot", "", "`FILE` for a plot of when each member took each version up, as SVG")
-	c.Flags().Float64Var(&rules.Grace, "grace", rules.Grace, "`SECONDS` after a drain was told for which new work may still start")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the whole report as JSON")
+	c.Flags().StringVar(&plot, "plot", "", "write a plot of when each member adopted each version to `FILE`, as SVG")
+	c.Flags().Float64Var(&rules.Grace, "grace", rules.Grace, "`SECONDS` after a drain was received in which new work may still start")
 	c.Flags().Float64Var(&rules.StragglerDelay, "late", rules.StragglerDelay,
-		"`SECONDS` after the first from which a member that takes a version up counts as late")
+		"`SECONDS` after the first member's adoption of a version from which a member counts as late")
 	return c
 }
 
--- a/cmd/cinderroad-dispatcher/cluster_check.go
+++ b/cmd/cinderroad-dispatcher/cluster_check.go
@@ -26,11 +26,11 @@
 	patience := 10 * time.Second
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Ask every member whether it holds the same view; status 1 if one does not",
-		Long: `Ask every member whether it holds the same view.
+		Short: "Compare the views of all members; exit status 1 if they differ",
+		Long: `Compare the views of all members.
 
-The dispatcher at --console names the members; each that is alive and has a second address is asked there. Views that move are
-asked again for as long as --patience says. Names those that disagree or do not answer, and ends with status 1 if there are any.`,
+The dispatcher at --console lists the members; each that is alive is queried at its admin server. Views that differ are queried again
+until --patience has passed. Lists the members that disagree or do not answer; the exit status is 1 if there are any.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for end := time.Now().Add(patience); ; time.Sleep(checkInterval) {
@@ -46,14 +46,14 @@
 					return err
 				}
 				if bad {
-					return errors.New("fleet: not all members hold one view")
+					return errors.New("fleet: not all members have the same view")
 				}
 				return nil
 			}
 		},
 	}
-	c.Flags().BoolVar(&client.asJSON, "json", false, "one line of JSON")
-	c.Flags().DurationVar(&patience, "patience", patience, "how long views that move are asked again")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "print one line of JSON")
+	c.Flags().DurationVar(&patience, "patience", patience, "how long views that differ are queried again")
 	return c
 }
 
--- a/cmd/cinderroad-dispatcher/cluster_members.go
+++ b/cmd/cinderroad-dispatcher/cluster_members.go
@@ -19,7 +19,7 @@
 	every := time.Second
 	c := &cobra.Command{
 		Use:   "members",
-		Short: "List the members as one dispatcher holds them",
+		Short: "List the members in the view of one dispatcher",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for {
@@ -42,9 +42,9 @@
 			}
 		},
 	}
-	c.Flags().BoolVar(&client.asJSON, "json", false, "as the dispatcher answers it")
-	c.Flags().BoolVar(&watch, "watch", false, "again and again, until stopped")
-	c.Flags().DurationVar(&every, "every", every, "pause of --watch")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "print the answer of the dispatcher as JSON")
+	c.Flags().BoolVar(&watch, "watch", false, "repeat until interrupted")
+	c.Flags().DurationVar(&every, "every", every, "interval of --watch")
 	return c
 }
 
--- a/cmd/cinderroad-dispatcher/cluster_orders.go
+++ b/cmd/cinderroad-dispatcher/cluster_orders.go
@@ -20,11 +20,11 @@
 func (client *consoleClient) goneCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "gone NAME",
-		Short: "Declare that a member held dead has ended for good, for all members",
+		Short: "Declare a dead member permanently gone, for all members",
 		Args:  cobra.ExactArgs(1),
-		Long: `Declare that a member held dead has ended for good.
+		Long: `Declare a dead member permanently gone.
 
-Only say so when you know that its process has ended: its share of cold workers is given to the others at once.`,
+Use it only if its process is known to have ended: its slow-start quota is given to the others at once.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			body, _ := json.Marshal(map[string]string{"member": args[0]})
 			_, err := callConsole(client.console, "PUT", "/api/fleet/gone", string(body))
@@ -36,11 +36,11 @@
 // orderCommand returns the command that shuts a member out, or the one that ends that.
 func (client *consoleClient) orderCommand(out bool) *cobra.Command {
 	use := "shut-out NAME"
-	short := "Have a member take no new work, wherever it is"
+	short := "Order a member to take no new work"
 	path := "/api/fleet/shut-out"
 	if !out {
 		use = "bring-back NAME"
-		short = "Take a shut-out back"
+		short = "Revoke a shut-out order"
 		path = "/api/fleet/bring-back"
 	}
 	patience := 30 * time.Second
@@ -50,8 +50,8 @@
 		Args:  cobra.ExactArgs(1),
 		Long: short + `.
 
-The order is given to the dispatcher at --console, and reaches the one that it names by whichever members can: waits until the
-fleet sees it carried out, for as long as --patience says. Status 1 if that is not seen; the order stands all the same.`,
+The dispatcher at --console sends the order to the member through the cluster. Waits until the cluster reports the order as applied,
+at most as long as --patience says. The exit status is 1 if it is not reported in time; the order remains in force.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			body, _ := json.Marshal(map[string]string{"member": args[0]})
 			if _, err := callConsole(client.console, "PUT", path, string(body)); err != nil {
@@ -64,7 +64,7 @@
 			return err
 		},
 	}
-	c.Flags().DurationVar(&patience, "patience", patience, "how long it is waited for")
+	c.Flags().DurationVar(&patience, "patience", patience, "how long to wait for the order to be applied")
 	return c
 }
 
@@ -80,7 +80,7 @@
 			return status.Members[i].State, nil
 		}
 		if time.Now().After(end) {
-			return "", fmt.Errorf("fleet: the order is given, but %s does not show it after %v; it stands", name, patience)
+			return "", fmt.Errorf("fleet: order issued, but %s has not applied it after %v; it remains in force", name, patience)
 		}
 	}
 }
--- a/cmd/cinderroad-dispatcher/cluster_versions.go
+++ b/cmd/cinderroad-dispatcher/cluster_versions.go
@@ -18,7 +18,7 @@
 func (client *consoleClient) versionsCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "versions",
-		Short: "Who holds which version of discovery's list, settings, operator's file and program; the oldest first",
+		Short: "List the versions of list, settings, operator's file and program at each member, oldest first",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := client.status(client.console)
@@ -31,7 +31,7 @@
 			return printVersions(c.OutOrStdout(), s)
 		},
 	}
-	c.Flags().BoolVar(&client.asJSON, "json", false, "the members as the dispatcher answers them, the oldest first")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "print the members as JSON, oldest first")
 	return c
 }
 
--- a/cmd/cinderroad-dispatcher/console.go
+++ b/cmd/cinderroad-dispatcher/console.go
@@ -40,7 +40,7 @@
 // error that quotes the body.
 func callConsole(console, method, path, body string) ([]byte, error) {
 	if console == "" {
-		return nil, errors.New("fleet: name a dispatcher's second address by --console ADDRESS or in $ROUTER_CONSOLE")
+		return nil, errors.New("fleet: no admin server given: set --console ADDRESS or $ROUTER_CONSOLE")
 	}
 	request, err := http.NewRequest(method, "http://"+console+path, strings.NewReader(body))
 	if err != nil {
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("fleet: %s: %w", console, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("fleet: %s says no: %s", console, strings.TrimSpace(string(text)))
+		return nil, fmt.Errorf("fleet: request rejected by %s: %s", console, strings.TrimSpace(string(text)))
 	}
 	return text, nil
 }
--- a/cmd/cinderroad-dispatcher/main.go
+++ b/cmd/cinderroad-dispatcher/main.go
@@ -27,7 +27,7 @@
 	options := &serveOptions{}
 	root := &cobra.Command{
 		Use:           "cinderroad-dispatcher",
-		Short:         "A dispatcher: every job gets one final answer",
+		Short:         "Dispatch jobs to backends; every job gets one final answer",
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -35,13 +35,13 @@
 	}
 	serve := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve until told to stop; what a bare call does, too",
+		Short: "Serve until a stop signal; the default command",
 		Args:  cobra.NoArgs,
 		RunE:  options.run,
 	}
 	check := &cobra.Command{
 		Use:   "check",
-		Short: "Read configuration and operator's file, and print what is in force",
+		Short: "Validate configuration and operator's file, and print the effective configuration",
 		Args:  cobra.NoArgs,
 		RunE:  options.check,
 	}
--- a/cmd/cinderroad-dispatcher/main_test.go
+++ b/cmd/cinderroad-dispatcher/main_test.go
@@ -141,7 +141,7 @@
 				"c.n_0.classes.score.answers.refused 1 20",
 				"half a li",
 			},
-			says: "make no sense",
+			says: "malformed records",
 		},
 	} {
 		out, err := call("audit", "--log", log, "--received", file("received", tc.received...))
--- a/cmd/cinderroad-dispatcher/metrics.go
+++ b/cmd/cinderroad-dispatcher/metrics.go
@@ -14,7 +14,7 @@
 	var page bool
 	c := &cobra.Command{
 		Use:   "figures",
-		Short: "List every series: name, kind, unit and meaning",
+		Short: "List all metrics: name, kind, unit and description",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if page {
@@ -27,6 +27,6 @@
 			return t.Flush()
 		},
 	}
-	c.Flags().BoolVar(&page, "page", false, "as the page docs/figures.md")
+	c.Flags().BoolVar(&page, "page", false, "print the page docs/figures.md")
 	return c
 }
--- a/cmd/cinderroad-dispatcher/request_audit.go
+++ b/cmd/cinderroad-dispatcher/request_audit.go
@@ -16,12 +16,12 @@
 	var logs, received []string
 	c := &cobra.Command{
 		Use:   "audit",
-		Short: "Compare request logs with what a receiver has got, class by class and verdict by verdict",
-		Long: `Compare request logs with what a receiver has got.
+		Short: "Compare request logs with the metrics that a receiver has stored, by class and verdict",
+		Long: `Compare request logs with the metrics that a receiver has stored.
 
-For each dispatcher, class and verdict, the lines of the logs are counted and the growth of the total is worked out; they must be
-equal. A log is as [request_log] of the operator's file writes it, its older files (FILE.1, FILE.2) named, too. What a receiver
-has got is a file of lines PATH VALUE TIME, as Graphite takes them, or PUTVAL lines. Ends with status 1 where the two differ.`,
+For each dispatcher, class and verdict, the number of lines in the logs must equal the growth of the counter. Logs are those of
+[request_log] of the operator's file; rotated files (FILE.1, FILE.2) must be given, too. Metrics are files of Graphite's plaintext
+lines (PATH VALUE TIME) or of collectd's PUTVAL lines. The exit status is 1 if the two differ.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			comparison := requestaudit.New()
@@ -38,16 +38,16 @@
 				return fmt.Errorf("audit: %d answers differ", n)
 			}
 			if comparison.MalformedCount > 0 {
-				return fmt.Errorf("audit: %d places make no sense", comparison.MalformedCount)
+				return fmt.Errorf("audit: %d malformed records", comparison.MalformedCount)
 			}
 			if comparison.LogLines == 0 || comparison.MetricPoints == 0 {
-				return errors.New("audit: nothing was there to compare")
+				return errors.New("audit: no records to compare")
 			}
 			return nil
 		},
 	}
-	c.Flags().StringArrayVar(&logs, "log", nil, "request log `FILE`; may be there more than once")
-	c.Flags().StringArrayVar(&received, "received", nil, "`FILE` of what a receiver has got; may be there more than once")
+	c.Flags().StringArrayVar(&logs, "log", nil, "request log `FILE`; may be repeated")
+	c.Flags().StringArrayVar(&received, "received", nil, "`FILE` of metrics that a receiver has stored; may be repeated")
 	for _, name := range []string{"log", "received"} {
 		if err := c.MarkFlagRequired(name); err != nil {
 			panic(err)
--- a/cmd/cinderroad-dispatcher/serve.go
+++ b/cmd/cinderroad-dispatcher/serve.go
@@ -26,12 +26,13 @@
 func (o *serveOptions) addFlags(c *cobra.Command) {
 	f := c.Flags()
 	f.SortFlags = false
-	f.StringVar(&o.configPath, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` (JSON); $ROUTER_CONFIG is the default")
-	f.StringVar(&o.shorthand.Operator, "operator", "", "operator's `FILE` (TOML), of the form of deploy/operator.toml")
-	f.StringVar(&o.gearmanPath, "gearman", "", "`FILE` (TOML) that turns the Gearman front on, of the form of deploy/gearman.toml")
-	f.StringVar(&o.shorthand.Graphite, "graphite", "", "`ADDRESS` of a Graphite receiver, besides the operator's file")
-	f.StringVar(&o.shorthand.Collectd, "collectd", "", "`PATH` of collectd's unix socket, besides the operator's file")
-	f.Float64Var(&o.shorthand.Interval, "metrics-every", 0, "`SECONDS` between figures; the operator's file says 10 if it says nothing")
+	f.StringVar(&o.configPath, "config", os.Getenv("ROUTER_CONFIG"), "configuration `FILE` (JSON); default: $ROUTER_CONFIG")
+	f.StringVar(&o.shorthand.Operator, "operator", "", "operator's `FILE` (TOML); example: deploy/operator.toml")
+	f.StringVar(&o.gearmanPath, "gearman", "", "`FILE` (TOML) that enables the Gearman front; example: deploy/gearman.toml")
+	f.StringVar(&o.shorthand.Graphite, "graphite", "", "`ADDRESS` of a Graphite receiver, in addition to the operator's file")
+	f.StringVar(&o.shorthand.Collectd, "collectd", "", "`PATH` of collectd's Unix socket, in addition to the operator's file")
+	f.Float64Var(&o.shorthand.Interval, "metrics-every", 0,
+		"`SECONDS` between metrics reports; default: every_s of the operator's file, or 10")
 	f.StringVar(&o.logLevel, "log", "info", "log `LEVEL`: debug, info, warn or error")
 }
 
--- a/internal/dispatcher/operatorconfig/cluster.go
+++ b/internal/dispatcher/operatorconfig/cluster.go
@@ -78,11 +78,11 @@
 func (c *Cluster) validateNames(errorAt keyErrorFunc) error {
 	switch {
 	case c.Name == "":
-		return errorAt("name", errors.New("must be there: members that name another fleet are ignored"))
+		return errorAt("name", errors.New("is required: members with another cluster name are ignored"))
 	case len(c.Name) > maxNameBytes:
 		return errorAt("name", fmt.Errorf("has %d bytes; %d at most", len(c.Name), maxNameBytes))
 	case c.Bind == "":
-		return errorAt("bind", errors.New(`must be there, like "127.0.0.1:7946"`))
+		return errorAt("bind", errors.New(`is required, for example "127.0.0.1:7946"`))
 	}
 	return nil
 }
--- a/internal/dispatcher/operatorconfig/config_test.go
+++ b/internal/dispatcher/operatorconfig/config_test.go
@@ -147,8 +147,8 @@
 
 var parseErrorCases = map[string][]parseErrorCase{
 	"fleet": {
-		{"[fleet]\nbind = \"127.0.0.1:7946\"\n", "", "fleet.name", "must be there"},
-		{"[fleet]\nname = \"f\"\n", "", "fleet.bind", "must be there"},
+		{"[fleet]\nbind = \"127.0.0.1:7946\"\n", "", "fleet.name", "is required"},
+		{"[fleet]\nname = \"f\"\n", "", "fleet.bind", "is required"},
 		{"[fleet]\nname = \"f\"\nbind = \"here:7946\"\n", ":3", "fleet.bind", "no IP address and port"},
 		{"[fleet]\nname = \"f\"\nbind = \"0.0.0.0:7946\"\n", ":3", "fleet.bind", "name one in advertise"},
 		{
@@ -183,7 +183,7 @@
 	"collectd": {
 		{"[collectd]\n", "", "collectd[0].socket", "either"},
 		{"[collectd]\nsocket = \"s\"\nsecurity = \"sign\"\n", ":3", "collectd[0].security", "unix socket"},
-		{signedSection, "", "collectd[0].password_file", "must be there"},
+		{signedSection, "", "collectd[0].password_file", "is required"},
 		{signedSection + "password_file = \"open.key\"\n", ":5", "collectd[0].password_file", "rights for others"},
 		{signedSection + "password_file = \"empty.key\"\n", ":5", "collectd[0].password_file", "one line"},
 		{signedSection + "password_file = \"none.key\"\n", ":5", "collectd[0].password_file", "no such file"},
@@ -193,7 +193,7 @@
 		{"[graphite]\naddress = \"127.0.0.1:1\"\nevery_s = 0.5\n", "", "telemetry.every_s", "not within"},
 		{"[telemetry]\nnode_series = -1\n", ":2", "telemetry.node_series", "not within"},
 		{"[telemetry]\nspool_bytes = 1\n", ":2", "telemetry.spool_bytes", "below"},
-		{"[request_log]\nkeep = 3\n", "", "request_log.path", "must be there"},
+		{"[request_log]\nkeep = 3\n", "", "request_log.path", "is required"},
 		{"[request_log]\npath = \"x\"\nmax_bytes = 1\n", ":3", "request_log.max_bytes", "below"},
 	},
 	"syntax": {
--- a/internal/dispatcher/operatorconfig/receivers.go
+++ b/internal/dispatcher/operatorconfig/receivers.go
@@ -83,7 +83,7 @@
 func (c *Collectd) validate(errorAt keyErrorFunc) (err error) {
 	switch {
 	case (c.Socket == "") == (c.Address == ""):
-		return errorAt("socket", errors.New("either socket or address must be there"))
+		return errorAt("socket", errors.New("either socket or address is required"))
 	case c.Address != "":
 		if c.ParsedAddress, err = parseAddress(c.Address); err != nil {
 			return errorAt("address", err)
@@ -108,9 +108,9 @@
 	case c.Socket != "":
 		return errorAt("security", errors.New("the unix socket has none"))
 	case c.Username == "" || len(c.Username) > maxUsernameBytes:
-		return errorAt("username", fmt.Errorf("must be there, with %d bytes at most", maxUsernameBytes))
+		return errorAt("username", fmt.Errorf("is required, with at most %d bytes", maxUsernameBytes))
 	case c.PasswordFile == "":
-		return errorAt("password_file", errors.New("must be there"))
+		return errorAt("password_file", errors.New("is required"))
 	}
 	if c.Password, err = readPassword(c.PasswordFile); err != nil {
 		return errorAt("password_file", err)
--- a/internal/dispatcher/operatorconfig/requestlog.go
+++ b/internal/dispatcher/operatorconfig/requestlog.go
@@ -27,7 +27,7 @@
 // validate checks the section and applies defaults.
 func (l *RequestLog) validate(errorAt keyErrorFunc) error {
 	if l.Path == "" {
-		return errorAt("path", errors.New("must be there"))
+		return errorAt("path", errors.New("is required"))
 	}
 	if l.MaxBytes == 0 {
 		l.MaxBytes = DefaultLogBytes
--- a/internal/dispatcher/requestaudit/compare.go
+++ b/internal/dispatcher/requestaudit/compare.go
@@ -83,7 +83,7 @@
 		return fmt.Errorf("audit: %w", err)
 	}
 	for _, place := range a.Malformed {
-		fmt.Fprintln(w, "makes no sense:", place)
+		fmt.Fprintln(w, "malformed:", place)
 	}
 	if more := a.MalformedCount - len(a.Malformed); more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
--- a/internal/dispatcher/server/cluster_metrics.go
+++ b/internal/dispatcher/server/cluster_metrics.go
@@ -20,7 +20,7 @@
 		Pattern: "fleet." + name,
 		Kind:    kind,
 		Unit:    unit,
-		Help:    help + " None without a fleet.",
+		Help:    help + " None without a cluster.",
 	}
 	add.set.AddFunc(doc, func() float64 {
 		if add.server.cluster == nil {
@@ -63,38 +63,38 @@
 	stats := func(get func(membership.Stats) uint64) func(*cluster.Cluster) uint64 {
 		return func(c *cluster.Cluster) uint64 { return get(c.Stats()) }
 	}
-	add.gauge("members_alive", "members", "Members held alive, this one among them.", func(c *cluster.Cluster) float64 {
+	add.gauge("members_alive", "members", "Members in state alive, including this one.", func(c *cluster.Cluster) float64 {
 		alive, _, _ := c.CountByState()
 		return float64(alive)
 	})
-	add.gauge("members_suspect", "members", "Members under suspicion.", func(c *cluster.Cluster) float64 {
+	add.gauge("members_suspect", "members", "Members in state suspect.", func(c *cluster.Cluster) float64 {
 		_, suspect, _ := c.CountByState()
 		return float64(suspect)
 	})
-	add.gauge("members_dead", "members", "Members held dead and not forgotten yet.", func(c *cluster.Cluster) float64 {
+	add.gauge("members_dead", "members", "Members in state dead that are not removed yet.", func(c *cluster.Cluster) float64 {
 		_, _, dead := c.CountByState()
 		return float64(dead)
 	})
-	add.gauge("instances", "members", "Dispatchers among whom cold workers are shared.",
+	add.gauge("instances", "members", "Dispatchers among which the slow-start quota is divided.",
 		func(c *cluster.Cluster) float64 { return float64(c.Share().Instances) })
-	add.gauge("part", "", "Part of its share of cold workers that this one takes; below 1 while others may not count it.",
+	add.gauge("part", "", "Fraction of its slow-start quota that this member uses; below 1 while others may not count it.",
 		func(c *cluster.Cluster) float64 { return c.Share().Fraction })
-	add.gauge("settle_s", "s", "How long the view took to settle the last time.", (*cluster.Cluster).LastConvergence)
-	add.counter("suspicions", "suspicions", "Members that came under suspicion.",
+	add.gauge("settle_s", "s", "Time the view took to converge after the last change.", (*cluster.Cluster).LastConvergence)
+	add.counter("suspicions", "suspicions", "Changes of members to state suspect.",
 		stats(func(n membership.Stats) uint64 { return n.Suspicions }))
-	add.counter("suspicions_refuted", "suspicions", "Suspicions that were taken back.",
+	add.counter("suspicions_refuted", "suspicions", "Suspicions of members that were refuted.",
 		stats(func(n membership.Stats) uint64 { return n.Refutations }))
-	add.counter("suspected", "suspicions", "Suspicions of this member that it answered.",
+	add.counter("suspected", "suspicions", "Suspicions of this member that it refuted.",
 		stats(func(n membership.Stats) uint64 { return n.SelfRefutations }))
-	add.counter("deaths", "members", "Members found dead.",
+	add.counter("deaths", "members", "Changes of members to state dead.",
 		stats(func(n membership.Stats) uint64 { return n.Deaths }))
-	add.counter("probes", "questions", "Members asked whether they are there.",
+	add.counter("probes", "probes", "Probes sent to members.",
 		stats(func(n membership.Stats) uint64 { return n.Probes }))
-	add.counter("probes_unanswered", "questions", "Those that ended without an answer.",
+	add.counter("probes_unanswered", "probes", "Probes without an acknowledgement, direct or indirect.",
 		stats(func(n membership.Stats) uint64 { return n.FailedProbes }))
-	add.counter("slept", "", "Times that this process stood still.",
+	add.counter("slept", "", "Pauses of this process that were detected.",
 		stats(func(n membership.Stats) uint64 { return n.Pauses }))
-	add.counter("name_claims", "", "Times that another process was found under this name.",
+	add.counter("name_claims", "", "Detections of another process under this name.",
 		stats(func(n membership.Stats) uint64 { return n.NameClaims }))
 }
 
@@ -102,19 +102,19 @@
 func addListVersionMetrics(add clusterMetricAdder) {
 	s := add.server
 	add.gauge("list_behind", "versions",
-		"Versions that the own list is behind the newest that a member says it has; none compares: 0.",
+		"Revisions by which the own list is behind the newest list of any member; 0 if none is comparable.",
 		func(*cluster.Cluster) float64 { return float64(s.versionTable.MaxLag()) })
 	add.gauge("out_of_lease", "", "1 while this member is out of its lease and takes no new work.",
 		func(*cluster.Cluster) float64 { return oneIf(s.leaseExpired()) })
-	add.gauge("word_age_s", "s", "Since a word of discovery last confirmed what is known here; -1: never.",
+	add.gauge("word_age_s", "s", "Time since an update of discovery last confirmed all versions known here; -1: never.",
 		func(c *cluster.Cluster) float64 { return c.ConfirmationAge() })
-	add.gauge("workers_withheld", "nodes", "Workers that get less than the own list says, on peers' words.",
+	add.gauge("workers_withheld", "nodes", "Workers restricted by updates of peers, beyond the own list.",
 		func(*cluster.Cluster) float64 { return float64(s.dispatcher.RestrictedCount()) })
-	add.counter("facts_taken", "facts", "What peers told of workers that the own list was too old to know.",
+	add.counter("facts_taken", "facts", "Updates of workers received from peers that were newer than the own list.",
 		func(*cluster.Cluster) uint64 { return s.versionTable.Stats.FactsAccepted })
-	add.counter("facts_doubted", "facts", "Of it, what the own discovery did not tell in time: taken back.",
+	add.counter("facts_doubted", "facts", "Updates of peers withdrawn because the own discovery did not confirm them in time.",
 		func(*cluster.Cluster) uint64 { return s.versionTable.Stats.Doubted })
-	add.counter("rides_bad", "", "What came along with members' messages and made no sense.",
+	add.counter("rides_bad", "", "Invalid piggybacked payloads of members' messages.",
 		func(*cluster.Cluster) uint64 { return s.versionTable.Stats.Malformed })
 }
 
@@ -122,9 +122,9 @@
 func addDatagramMetrics(add clusterMetricAdder) {
 	add.counter("datagrams_sent", "datagrams", "Datagrams sent.",
 		func(c *cluster.Cluster) uint64 { return c.Sent })
-	add.counter("datagrams_received", "datagrams", "Datagrams that came.",
+	add.counter("datagrams_received", "datagrams", "Datagrams received.",
 		func(c *cluster.Cluster) uint64 { return c.Received })
-	add.counter("datagrams_unsent", "datagrams", "Datagrams that the system did not take.",
+	add.counter("datagrams_unsent", "datagrams", "Datagrams that could not be sent.",
 		func(c *cluster.Cluster) uint64 { return c.Unsent })
 	add.counter("bytes_sent", "bytes", "Bytes of the datagrams sent.",
 		func(c *cluster.Cluster) uint64 { return c.BytesSent })
@@ -132,10 +132,10 @@
 		add.counter("dropped_"+name, "datagrams", "Datagrams dropped: "+name+".",
 			func(c *cluster.Cluster) uint64 { return c.Drops[reason] })
 	}
-	add.counter("dropped_repeated", "datagrams", "Datagrams dropped: heard before.",
+	add.counter("dropped_repeated", "datagrams", "Datagrams dropped: duplicates.",
 		func(c *cluster.Cluster) uint64 { return c.Stats().Duplicates })
-	add.counter("dropped_no_room", "names", "Names not taken in, since 4,096 are known.",
+	add.counter("dropped_no_room", "names", "Names of members rejected because 4,096 are known.",
 		func(c *cluster.Cluster) uint64 { return c.Stats().RejectedNames })
-	add.counter("dropped_stale", "datagrams", "Datagrams dropped: of an earlier life.",
+	add.counter("dropped_stale", "datagrams", "Datagrams dropped: from an earlier generation of a process.",
 		func(c *cluster.Cluster) uint64 { return c.Stats().Stale })
 }
--- a/internal/dispatcher/server/describe.go
+++ b/internal/dispatcher/server/describe.go
@@ -39,7 +39,7 @@
 	line("name", "%s", c.Name)
 	line("listen", "%s", cmp.Or(c.Listen, "off"))
 	line("discovery", "%s", cmp.Or(c.Discovery, "off"))
-	line("second address", "%s", cmp.Or(c.Console, "off"))
+	line("admin server", "%s", cmp.Or(c.Console, "off"))
 	line("limits", "%d sockets, %d MB", c.Limits.Sockets, c.Limits.MemoryMB)
 	line("classes", "%s", strings.Join(c.classNames(), ", "))
 	line("data centres", "%s", strings.Join(c.dispatcherSettings.FailureDomains, ", "))
@@ -68,12 +68,12 @@
 		}
 	}
 	if len(operator.Graphite)+len(operator.Collectd) == 0 {
-		line("figures", "go nowhere")
+		line("metrics", "not sent")
 	} else {
-		line("figures", "every %v s, %d bytes held in memory, series of %d nodes",
+		line("metrics", "every %v s, at most %d bytes buffered, series of at most %d nodes",
 			settings.IntervalSeconds, settings.MemoryBytes, *settings.NodeSeries)
 	}
-	line("spool", "%s", cmp.Or(settings.SpoolDir, "off: totals begin at 0 with each start"))
+	line("spool", "%s", cmp.Or(settings.SpoolDir, "off: totals restart at 0 with each start"))
 }
 
 // describeCluster describes the membership of the cluster.
@@ -85,11 +85,11 @@
 	}
 	completeness := "all dispatchers are members"
 	if !*fleet.Complete {
-		completeness = "not all dispatchers are members: nInstances is the least"
+		completeness = "not all dispatchers are members: nInstances is the minimum"
 	}
 	seeds := cmp.Or(strings.Join(fleet.Seeds, ", "), "none")
-	line("fleet", "%s as %s, %s over UDP, others reach it at %s, seeds %s, a probe every %v s, %s",
+	line("fleet", "%s as %s, %s over UDP, advertised as %s, seeds %s, a probe every %v s, %s",
 		fleet.Name, c.Name, fleet.ParsedBind, fleet.ParsedAdvertise, seeds, fleet.ProbeIntervalSeconds, completeness)
-	line("lease", "%v s without a word of discovery", fleet.LeaseSeconds)
-	line("ledger", "%s", cmp.Or(fleet.AuditLogPath, "off: no request log, and ledger names no file"))
+	line("lease", "expires %v s after the last update of discovery", fleet.LeaseSeconds)
+	line("ledger", "%s", cmp.Or(fleet.AuditLogPath, "off: neither a request log nor a ledger file is configured"))
 }
--- a/internal/dispatcher/server/reporting_metrics.go
+++ b/internal/dispatcher/server/reporting_metrics.go
@@ -18,14 +18,14 @@
 
 // addPeriodMetrics adds the metrics of the periods that are closed and wait for receivers.
 func addPeriodMetrics(add metricAdder, s *Server) {
-	add.counter("telemetry.periods", "periods", "Periods closed.",
+	add.counter("telemetry.periods", "periods", "Reporting periods completed.",
 		func() uint64 { return s.reporting.exporter.ClosedPeriods })
-	add.gauge("telemetry.periods_held", "periods", "Periods that wait for a receiver.", func() float64 {
+	add.gauge("telemetry.periods_held", "periods", "Periods buffered for receivers.", func() float64 {
 		n, _ := s.reporting.exporter.Ring().Size()
 		return float64(n)
 	})
 	add.counter("telemetry.periods_dropped", "periods",
-		"Periods that had to go before every receiver had them: their points are missing, totals go on.",
+		"Periods dropped before every receiver had them: their points are missing, totals continue.",
 		func() uint64 { return s.reporting.exporter.Ring().Dropped })
 }
 
@@ -35,22 +35,22 @@
 		add.counter("telemetry."+kind+"."+name, unit, help,
 			func() uint64 { return get(s.reporting.exporter.KindStats(kind)) })
 	}
-	counter("periods", "periods", "Periods that "+receivers+" have got.",
+	counter("periods", "periods", "Periods delivered to "+receivers+".",
 		func(stats exporter.OutputStats) uint64 { return stats.Periods })
-	counter("points", "points", "Points sent to "+receivers+", some again after a break.",
+	counter("points", "points", "Points sent to "+receivers+", including those sent again after a failure.",
 		func(stats exporter.OutputStats) uint64 { return stats.Points })
-	counter("breaks", "tries", "Tries to deliver to "+receivers+" that came to nothing.",
+	counter("breaks", "attempts", "Failed attempts to deliver to "+receivers+".",
 		func(stats exporter.OutputStats) uint64 { return stats.Failures })
-	counter("refused", "points", "Points that "+receivers+" would not have.",
+	counter("refused", "points", "Points rejected by "+receivers+".",
 		func(stats exporter.OutputStats) uint64 { return stats.RejectedPoints })
 }
 
 // addSpoolMetrics adds the metrics of the spool; they have no value without one.
 func addSpoolMetrics(add metricAdder, s *Server) {
 	present := func() bool { return s.reporting.spool != nil }
-	add.optionalCounter("telemetry.spool_failed", "records", "Records that the disk refused. None without a spool.", present,
+	add.optionalCounter("telemetry.spool_failed", "records", "Records that could not be written. None without a spool.", present,
 		func() uint64 { return s.reporting.spool.WriteErrors() })
-	add.optionalCounter("telemetry.spool_lost", "records", "Records that the disk was too slow for. None without a spool.", present,
+	add.optionalCounter("telemetry.spool_lost", "records", "Records dropped because the disk was too slow. None without a spool.", present,
 		func() uint64 { return s.reporting.spool.Dropped() })
 }
 
@@ -59,8 +59,8 @@
 	present := func() bool { return s.reporting.requestLog != nil }
 	add.optionalCounter("request_log.lines", "lines", "Lines written to the request log. None without one.", present,
 		func() uint64 { return s.reporting.requestLog.Lines })
-	add.optionalCounter("request_log.lost", "lines", "Lines that the disk was too slow for. None without a request log.", present,
+	add.optionalCounter("request_log.lost", "lines", "Lines dropped because the disk was too slow. None without a request log.", present,
 		func() uint64 { return s.reporting.requestLog.DroppedLines() })
-	add.optionalCounter("request_log.failed", "lines", "Lines that the disk refused. None without a request log.", present,
+	add.optionalCounter("request_log.failed", "lines", "Lines that could not be written. None without a request log.", present,
 		func() uint64 { return s.reporting.requestLog.FailedLines() })
 }
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -25,9 +25,9 @@
 // attemptDocs describes the series of attempts, in the order of the indices from classSeries.attempts on.
 var attemptDocs = []SeriesDoc{
 	{Pattern: "first", Help: "First attempts that have ended."},
-	{Pattern: "repeats", Help: "Attempts made after another had ended, that have ended themselves."},
-	{Pattern: "copies", Help: "Attempts made while another was out, that have ended."},
-	{Pattern: "copies_won", Help: "Copies that served their job."},
+	{Pattern: "repeats", Help: "Retries that have ended: attempts made after another attempt had ended."},
+	{Pattern: "copies", Help: "Hedged requests that have ended: attempts made while another was in flight."},
+	{Pattern: "copies_won", Help: "Hedged requests that served their job."},
 }
 
 func (s *Set) addClasses() {
@@ -45,7 +45,7 @@
 	}
 	c.rejected = s.table.Len()
 	for reason := range dispatch.ReasonCount {
-		help := "Jobs refused or returned because: " + reasonHelp[reason] + "."
+		help := "Jobs rejected or queued again because: " + reasonHelp[reason] + "."
 		s.addClassSeries(name, "refused."+reasonName(reason), SeriesDoc{Unit: "jobs", Help: help})
 	}
 	c.failed = s.table.Len()
@@ -59,11 +59,11 @@
 	}
 	c.results = s.table.Len()
 	for _, result := range ResultNames {
-		s.addClassSeries(name, "fetches.end_"+result, SeriesDoc{Unit: "attempts", Help: "Attempts that ended as " + result + "."})
+		s.addClassSeries(name, "fetches.end_"+result, SeriesDoc{Unit: "attempts", Help: "Attempts that ended with result " + result + "."})
 	}
-	c.latency = s.addClassHistogram(name, "latency", "From a job's arrival to its answer, of those served in the period")
+	c.latency = s.addClassHistogram(name, "latency", "Time from arrival to answer of the jobs served in the period")
 	c.startWait = s.addClassHistogram(name, "start_wait",
-		"From a job's arrival to its start, of those served in the period whose start was told")
+		"Time from arrival to start of the jobs served in the period whose start was reported")
 	return c
 }
 
@@ -96,21 +96,21 @@
 }
 
 var reasonHelp = [dispatch.ReasonCount]string{
-	dispatch.ReasonNone:             "no reason was worked out",
-	dispatch.ReasonNoReadyMember:    "the list holds nobody who is ready",
-	dispatch.ReasonNoCapacity:       "everybody is too full for it to start in time",
-	dispatch.ReasonRejected:         "the last attempt was turned away",
-	dispatch.ReasonUnreachable:      "the last attempt found nobody",
-	dispatch.ReasonWithdrawn:        "the last attempt was called off before its first byte",
-	dispatch.ReasonDeadlineExceeded: "its time was over",
+	dispatch.ReasonNone:             "the reason is unknown",
+	dispatch.ReasonNoReadyMember:    "the list has no ready node",
+	dispatch.ReasonNoCapacity:       "no node has the capacity to start it in time",
+	dispatch.ReasonRejected:         "the last attempt was rejected",
+	dispatch.ReasonUnreachable:      "the last attempt could not connect",
+	dispatch.ReasonWithdrawn:        "the last attempt was withdrawn before its first byte",
+	dispatch.ReasonDeadlineExceeded: "its deadline was exceeded",
 	dispatch.ReasonBackendError:     "the last attempt failed at the backend",
-	dispatch.ReasonConnectionLost:   "the last attempt's connection broke",
-	dispatch.ReasonTimeout:          "the last attempt was never answered",
+	dispatch.ReasonConnectionLost:   "the connection of the last attempt was lost",
+	dispatch.ReasonTimeout:          "the last attempt timed out",
 	dispatch.ReasonCancelled:        "the last attempt was cancelled",
-	dispatch.ReasonInvalidJob:       "backends could do nothing with it",
-	dispatch.ReasonUnknownClass:     "nobody knows its class",
-	dispatch.ReasonOverdue:          "the decisions had forgotten it",
-	dispatch.ReasonEvacuated:        "the front is evacuated",
+	dispatch.ReasonInvalidJob:       "backends reported it as invalid",
+	dispatch.ReasonUnknownClass:     "its class is unknown",
+	dispatch.ReasonOverdue:          "the load balancer did not answer it by its deadline",
+	dispatch.ReasonEvacuated:        "the dispatcher is evacuated",
 	dispatch.ReasonNoMemory:         "there was no memory for its body",
 	dispatch.ReasonLeaseExpired:     "the dispatcher is out of its lease",
 }
--- a/internal/dispatcher/telemetry/drains.go
+++ b/internal/dispatcher/telemetry/drains.go
@@ -11,7 +11,7 @@
 		Pattern: "drains.told",
 		Kind:    Counter,
 		Unit:    "drains",
-		Help:    "Members that were ready and then no longer, by the list or by hand.",
+		Help:    "Drains: nodes that stopped being ready, by the list or by an operator.",
 	})
 	s.drains.honoured = add(SeriesDoc{
 		Pattern: "drains.honoured",
@@ -23,13 +23,13 @@
 		Pattern: "drains.broken",
 		Kind:    Counter,
 		Unit:    "drains",
-		Help:    "Drains after which one did: must stay 0.",
+		Help:    "Drains after which a job started later than 300 ms: must stay 0.",
 	})
 	s.drains.margin = add(SeriesDoc{
 		Pattern: "drains.margin_least_ms",
 		Kind:    Gauge,
 		Unit:    "ms",
-		Help: "What the drains that ended in the period had left of the 300 ms when the last job started, at least. " +
+		Help: "Least time left of the 300 ms when the last job started, over the drains that ended in the period. " +
 			"None without a drain.",
 	})
 }
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -66,8 +66,8 @@
 				Pattern: "nodes_unplaced.ended",
 				Kind:    Counter,
 				Unit:    "attempts",
-				Help: "Attempts that ended at a node which holds no slot: " +
-					"it has left, and another has its slot, or there were too many.",
+				Help: "Attempts that ended at a node without a slot: " +
+					"its slot was reassigned after it left, or there were too many nodes.",
 			},
 		},
 		{
@@ -76,7 +76,7 @@
 				Pattern: "nodes_unplaced.nodes",
 				Kind:    Gauge,
 				Unit:    "nodes",
-				Help:    "Listed nodes without series, since there are too many.",
+				Help:    "Listed nodes without series of their own, because there are too many.",
 			},
 		},
 	} {
@@ -188,9 +188,9 @@
 			delete(n.byWorker, slot.worker)
 		}
 		if slot.node != "" {
-			s.options.Log(fmt.Sprintf("slot %s passes from node %s to %s", slot.name, slot.node, member.Name))
+			s.options.Log(fmt.Sprintf("slot %s reassigned from node %s to %s", slot.name, slot.node, member.Name))
 		} else {
-			s.options.Log(fmt.Sprintf("slot %s is of node %s", slot.name, member.Name))
+			s.options.Log(fmt.Sprintf("slot %s assigned to node %s", slot.name, member.Name))
 		}
 		*slot = nodeSlot{name: slot.name, firstSeries: slot.firstSeries, node: member.Name, worker: member.ID}
 		n.byWorker[member.ID] = slot
--- a/internal/dispatcher/telemetry/verdict.go
+++ b/internal/dispatcher/telemetry/verdict.go
@@ -41,12 +41,12 @@
 }
 
 var verdictHelp = [NumVerdicts]string{
-	InTime:       "Jobs served within the class's objective, with its stretch for the hinted work.",
-	Late:         "Jobs served after that.",
-	Rejected:     "Jobs refused: they did not run, a repeat is harmless.",
-	Failed:       "Jobs failed: nothing is promised.",
-	Disconnected: "Jobs whose client had left before an answer.",
-	Requeued:     "Refusals of background jobs that were told to nobody: the job comes again by itself.",
+	InTime:       "Jobs served within the latency objective of the class, scaled by the hinted work.",
+	Late:         "Jobs served after the latency objective.",
+	Rejected:     "Jobs rejected: they did not run, a retry is harmless.",
+	Failed:       "Jobs failed: they may have run.",
+	Disconnected: "Jobs whose client disconnected before an answer.",
+	Requeued:     "Rejections of background jobs, which are queued again.",
 }
 
 // String returns the verdict's name.
