--- a/cmd/cinderroad-dispatcher/cluster_audit.go
+++ b/cmd/cinderroad-dispatcher/cluster_audit.go
@@ -84,7 +84,7 @@
 	skipped := 0 // lines of it
 	summarize := func() {
 		if skipped > maxReportedLines {
-			fmt.Fprintf(warn, "%s: %d lines left out in all\n", file, skipped)
+			fmt.Fprintf(warn, "%s: %d lines skipped\n", file, skipped)
 		}
 	}
 	report, err := auditlog.AuditFiles(rules, files, func(name string, line int, err error) {
@@ -95,9 +95,9 @@
 		skipped++
 		switch {
 		case line == 0:
-			fmt.Fprintf(warn, "not read: %v\n", err)
+			fmt.Fprintf(warn, "file skipped: %v\n", err)
 		case skipped <= maxReportedLines:
-			fmt.Fprintf(warn, "%s: line %d left out: %v\n", name, line, err)
+			fmt.Fprintf(warn, "%s: line %d skipped: %v\n", name, line, err)
 		}
 	})
 	summarize()
--- a/cmd/cinderroad-dispatcher/console.go
+++ b/cmd/cinderroad-dispatcher/console.go
@@ -19,11 +19,11 @@
 
 // consoleClient holds the flags that the fleet commands share, and calls the operators' API of dispatchers.
 type consoleClient struct {
-	console string // second address of the dispatcher that is asked first
+	console string // address of the admin server of the dispatcher that is queried first
 	asJSON  bool
 }
 
-// status asks the dispatcher at a second address for its view of the cluster.
+// status queries an admin server for the view of the cluster that its dispatcher has.
 func (client *consoleClient) status(console string) (*cluster.Status, error) {
 	text, err := callConsole(console, "GET", "/api/fleet", "")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return s, nil
 }
 
-// callConsole makes one call at a dispatcher's second address, and returns the body of its answer. Any status but 200 is an
+// callConsole makes one call at an admin server, and returns the body of its answer. Any status but 200 is an
 // error that quotes the body.
 func callConsole(console, method, path, body string) ([]byte, error) {
 	if console == "" {
