--- a/internal/dispatcher/cluster/transport.go
+++ b/internal/dispatcher/cluster/transport.go
@@ -148,12 +148,12 @@
 func (c *Cluster) logChange(change membership.Change) {
 	fields := []zap.Field{
 		zap.String("member", change.Name),
-		zap.Stringer("state", change.To),
+		zap.Stringer("to", change.To),
 		zap.Uint64("incarnation", change.Incarnation),
 		zap.String("cause", change.Cause),
 	}
 	if !change.New {
-		fields = append(fields, zap.Stringer("previous_state", change.From))
+		fields = append(fields, zap.Stringer("from", change.From))
 	}
 	if change.Name == c.options.Name {
 		c.log.Error("membership: "+change.Cause, zap.String("member", change.Name))
--- a/internal/dispatcher/server/cluster_test.go
+++ b/internal/dispatcher/server/cluster_test.go
@@ -36,7 +36,7 @@
 	return processcluster.Start(t, o)
 }
 
-var foundDead = regexp.MustCompile(`"member": "([^"]+)", "state": "dead"`)
+var foundDead = regexp.MustCompile(`"member": "([^"]+)", "to": "dead"`)
 
 // falselyDead lists which member found which other one dead although its process ran. One that got no processor time for so
 // long that it reports the pause itself was rightly found.
@@ -91,7 +91,7 @@
 	leaver.Terminate()
 	t.Logf("held to have left by all after %v", r.Eventually("left", allReport(r, leaver.Name, "left")))
 	for _, m := range r.RunningMembers() {
-		if text := m.LogText(); strings.Contains(text, fmt.Sprintf(`"member": %q, "state": "dead"`, leaver.Name)) {
+		if text := m.LogText(); strings.Contains(text, fmt.Sprintf(`"member": %q, "to": "dead"`, leaver.Name)) {
 			t.Errorf("%s held %s for dead, which had said that it leaves", m.Name, leaver.Name)
 		}
 	}
@@ -214,7 +214,7 @@
 	time.Sleep(15 * time.Second)
 	refuted := 0
 	for _, m := range r.Members {
-		refuted += strings.Count(m.LogText(), `"state": "alive"`)
+		refuted += strings.Count(m.LogText(), `"to": "alive"`)
 	}
 	t.Logf("under loss: %d records of members found alive again at %d members in 75 periods", refuted, n)
 	for _, wrong := range falselyDead(r) {
