--- a/internal/system/placement/attempt.go
+++ b/internal/system/placement/attempt.go
@@ -32,25 +32,25 @@
 
 // Progress is what an attempt has shown by its end.
 type Progress struct {
-	TimeToFirstEvent time.Duration // from the start of the attempt to the first event or byte; 0: none came
-	LongestEventGap  time.Duration
-	Events           int
-	Duration         time.Duration
+	TimeToFirstEvent time.Duration // from when the request was written to the first event or byte; 0: none came
+	LongestEventGap  time.Duration // between two events in a row
+	Events           int           // of an event stream; otherwise 1 for the first bytes
+	Duration         time.Duration // from when the request was written to the end; 0: it was not written
 }
 
 // reservation is the capacity that an attempt takes of its runner, and its progress there.
 type reservation struct {
 	runner         *runnerState
-	sentAt         time.Duration
-	load           float64 // of the runner after it was added, as its limits see it
-	weight         float64 // in slots: 1, and more during prefill
-	prefillWeight  float64 // the part of weight that the first event releases
-	tokens         float64 // of the engine's memory
-	prefillTokens  float64 // prompt tokens that are probably not cached
-	firstEventSeen bool    // the first event or byte has come
-	announced      bool    // its prompt is long enough for a notice to the other proxies
-	endedSuspicion bool    // its first event ended the suspicion of its runner
-	ended          bool
+	sentAt         time.Duration // when StartAttempt was called: connecting is included in what is learnt from first events
+	load           float64       // of the runner after it was added, as its limits see it
+	weight         float64       // in slots: 1, and more during prefill
+	prefillWeight  float64       // the part of weight that the first event releases
+	tokens         float64       // of the engine's memory
+	prefillTokens  float64       // prompt tokens that are probably not cached
+	firstEventSeen bool          // the first event or byte has come
+	announced      bool          // its prompt is long enough for a notice to the other proxies
+	endedSuspicion bool          // its first event ended the suspicion of its runner
+	ended          bool          // nothing is reserved any more, or ever was: see StartAttempt
 	links          intrusivelist.Links[Attempt]
 }
 
--- a/internal/system/placement/capacity.go
+++ b/internal/system/placement/capacity.go
@@ -9,11 +9,11 @@
 
 // This file decides how much spare capacity each runner has: the plan of a monitoring period.
 
-// The capacity plan.
+// The capacity plan. For "kept" see the package comment.
 const (
 	planPeriod          = 100 * time.Millisecond // how often the plan is rebuilt
-	usageWindow         = 1.5                    // seconds over which own loads are averaged to estimate the others'; measured
-	waitDecay           = 0.5                    // time constant in seconds with which an observed wait decays; measured
+	usageWindow         = 1.5                    // seconds over which own loads are averaged to estimate the others'; kept
+	waitDecay           = 0.5                    // time constant in seconds with which an observed wait decays; kept
 	lateStartShare      = 0.6                    // share of a latency target; a first event that takes longer is a sign of overload
 	maxWaitLoad         = 2.0                    // what waits may add to a runner's load, in multiples of its slots
 	plannedMemoryShare  = 0.95                   // share of an engine's memory that is planned with
@@ -110,7 +110,8 @@
 }
 
 // deriveLoad computes a runner's load from this proxy's own requests there, the estimate of the others' and the waits
-// seen; and the spare capacity that remains below its limits.
+// seen; and the spare capacity that remains below its limits. Prompts in prefill that other proxies announced replace the
+// estimate of theirs. A wait counts only as far as it exceeds the prefill that is known: both show the same backlog.
 func (p *Placer) deriveLoad(now time.Duration, service *serviceState, runner *runnerState) {
 	total := runner.ownUsage
 	total.add(&service.meanUsage, p.otherProxies())
@@ -125,7 +126,7 @@
 	runner.load = total.slots + math.Max(waiting-total.prefill, 0)
 	runner.utilization = runner.load / runner.slots
 	runner.spareTokens = math.Inf(1)
-	if service.isEngine() {
+	if service.isEngine() { // an engine is full when its backlog alone makes a first event late
 		runner.utilization = service.prefillTime(math.Max(waiting, total.prefill)) / (lateStartShare * service.latencyTarget)
 		runner.spareTokens = plannedMemoryShare*float64(service.Backend.CacheTokens) - total.tokens
 	}
--- a/internal/system/placement/doc.go
+++ b/internal/system/placement/doc.go
@@ -21,8 +21,20 @@
 //   - The same calls with the same seed give the same decisions, bit for bit. A choice allocates no memory.
 //
 // A Placer does no I/O, has no clock and starts no goroutine. It is not safe for concurrent use: one goroutine calls
-// it. The constants are ratios wherever a time or an amount can be derived; those that were measured say so, and
-// TestDistribution is the measurement.
+// it.
+//
+// # Constants
+//
+// A constant is a ratio wherever a time or an amount can be derived from the settings or from what is observed. Its comment
+// says where the value is from:
+//
+//   - tried: docs/decisions.md ("Constants") or docs/design/placement.md compares it with other values;
+//   - kept: it was measured for earlier deployments (docs/design/placement.md) and not tried for the present ones;
+//   - otherwise it was set by judgement, and no comparison is recorded.
+//
+// TestDistribution holds bounds on what the constants of the prefix cache and of the capacity plan achieve together.
+//
+// # Units
 //
 // Times are of the caller's steady clock and must not go back. Loads are in slots, the requests that a runner serves
 // at a time; the prefill of a long prompt weighs more than one slot (see attempt.go).
--- a/internal/system/placement/eligibility.go
+++ b/internal/system/placement/eligibility.go
@@ -46,7 +46,8 @@
 	return max(1, int(connectionShare*float64(runner.service.MaxConnections)/(1+p.otherProxies())))
 }
 
-// expectedDuration is an upper estimate of how long a request takes at a runner.
+// expectedDuration is an upper estimate of how long a request takes at a runner: the mean and two mean deviations of its
+// route, and the wait last seen at the runner. 0: the request has no route.
 func (p *Placer) expectedDuration(runner *runnerState, request *Request) time.Duration {
 	if request.Route == nil {
 		return 0
--- a/internal/system/placement/limits.go
+++ b/internal/system/placement/limits.go
@@ -9,6 +9,10 @@
 
 // This file decides the concurrency limits of runners: what the ends of attempts teach about them.
 
+// excessWaitRate is the weight of a first event in runnerState.excessWait: twice that of an outcome in the error rate, so
+// that fewer of them count.
+const excessWaitRate = 2 * capacity.LearningRate
+
 // loadForLimits is a runner's load as its limits see it: being near the utilization limit counts like being as near to the
 // load limit.
 func (r *runnerState) loadForLimits() float64 {
@@ -24,8 +28,8 @@
 		*latency = elapsed
 	}
 	excess := elapsed - p.expectedFirstEvent(service, runner, attempt.prefillTokens)
-	capacity.UpdateMean(&runner.excessWait, math.Max(excess, 0), 2*capacity.LearningRate)
-	if service.isEngine() && attempt.prefillTokens > service.slotTokens()/minSpeedSampleSlot && elapsed > *latency {
+	capacity.UpdateMean(&runner.excessWait, math.Max(excess, 0), excessWaitRate)
+	if service.isEngine() && attempt.prefillTokens > service.slotTokens()/speedSampleDivisor && elapsed > *latency {
 		service.learnPrefillSpeed(attempt.prefillTokens / (elapsed - *latency))
 	}
 	if attempt.Request.Route != nil && elapsed > lateStartShare*attempt.Request.Route.LatencyTarget.Seconds() {
@@ -33,7 +37,7 @@
 	}
 }
 
-// learnFromOutcome updates limits, ejection and suspicion of a runner.
+// learnFromOutcome updates limits, ejection and suspicion of a runner. Nothing is learnt from Cancelled.
 func (p *Placer) learnFromOutcome(now time.Duration, attempt *Attempt, outcome Outcome, progress Progress) {
 	runner := attempt.runner
 	switch outcome {
@@ -50,7 +54,9 @@
 		runner.limits.RecordOverload(attempt.load, runner.slots)
 		runner.markSuspect(now)
 		p.recordOutcome(now, runner, 1)
-	case Misdirected: // the runner at the address is another one
+	case Misdirected:
+		// Another runner has the address. Until the membership feed says so, no request gets through: suspect it for the
+		// longest time at once.
 		runner.suspectDuration = maxSuspectDuration
 		runner.markSuspect(now)
 	}
--- a/internal/system/placement/notices.go
+++ b/internal/system/placement/notices.go
@@ -9,12 +9,12 @@
 // long prompts that they send, and that a suspect runner responds again. Correctness does not depend on notices: where none
 // comes for a while, the load of the others is estimated from the proxy's own.
 
-// Notices.
+// Notices. For "tried" see the package comment.
 const (
-	prefillSlotShare      = 0.5                   // of a slot's memory: so many tokens in prefill weigh as much as a slot; measured
+	prefillSlotShare      = 0.5                   // of a slot's memory: so many tokens in prefill weigh as much as a slot; tried
 	minNoticeThreshold    = 1.0                   // prefill weight in slots from which prompts are announced, at least
 	maxPlanAge            = 10 * time.Millisecond // of the plan that a choice uses, where other proxies announce their prompts
-	maxNoticeRate         = 300.0                 // notices a second; if more come, only longer prompts are announced
+	maxNoticeRate         = 300.0                 // notices received in a second; if more come, only longer prompts are announced
 	noticeThresholdGrowth = 1.1                   // factor of the threshold after a period with too many notices
 	noticeThresholdDecay  = 0.98                  // factor of the threshold after any other period
 	noticeValidity        = 2 * time.Second       // how long after the last notice the others' prompts are assumed to be known
--- a/internal/system/placement/peers.go
+++ b/internal/system/placement/peers.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Delays after which a change of the proxies counts.
+// Delays after which a change of the proxies counts. joinDelay and proxyRemovalDelay must be longer than it takes until all
+// proxies know of a change: before that, shared budgets could be divided by too low a number.
 const (
 	joinDelay         = 2 * time.Second // after a start or a pause, until all other proxies count this one
 	sleepThreshold    = time.Second     // without a call after which the process must have been frozen
--- a/internal/system/placement/prefill_speed.go
+++ b/internal/system/placement/prefill_speed.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// The prefill speed.
+// The prefill speed. The window was tried, in place of a running mean; its numbers were not.
 const (
-	speedWindowSize    = 64  // samples
+	speedWindowSize    = 64  // samples: the last prompts of a service
 	minSpeedSamples    = 4   // samples that replace a restored speed
 	speedQuantile      = 0.8 // quantile of the samples that is taken for the speed
-	minSpeedSampleSlot = 16  // a prompt is a sample if it weighs more than a slot divided by this
+	speedSampleDivisor = 16  // a prompt is a sample if it weighs more than a slot divided by this
 )
 
 // speedWindow holds the prefill speeds of a service's last prompts, in tokens a second. Prompts that waited for others say
--- a/internal/system/placement/prefix_cache.go
+++ b/internal/system/placement/prefix_cache.go
@@ -11,18 +11,21 @@
 // that did, as long as all chunks before them are cached, too. The owner of a prefix is drawn from the prefix and the
 // runners' ids alone (rendezvous hashing), so all proxies send a prefix to the same runner of a region without messages.
 
-// The prefix cache.
+// The prefix cache. For "tried" and "kept" see the package comment.
 const (
-	prefixPrice          = 4.0  // weight of prefilling a prefix again relative to its time, since it is priced; measured
-	minPrefixPreference  = 0.5  // slots by which the owner of a prefix is preferred at least; measured
-	recentPrefixShare    = 0.75 // share of the owner's preference for a runner that this proxy recently sent the prefix to
-	secondaryPrefixShare = 0.5  // and for the secondary owner
-	prefixHistorySpan    = 30 * time.Second
-	prefixHistorySize    = 1024
-	maxRegions           = 16   // regions with prefix owners of their own
-	bytesPerToken        = 18.0 // bytes between regions that cost as much as prefilling a token; 15 to 23 were measured
-	reuseLearningRate    = 0.05 // weight of a request in routeStats.prefixReuse
-	maxReuse             = 0.98 // upper bound of the reuse that is planned with
+	prefixPrice          = 4.0              // weight of prefilling a prefix again relative to its time, since it is priced; tried
+	minPrefixPreference  = 0.5              // slots by which the owner of a prefix is preferred at least; tried
+	recentPrefixShare    = 0.75             // share of the owner's preference for a runner that this proxy recently sent it to; kept
+	secondaryPrefixShare = 0.5              // and for the secondary owner; kept
+	prefixHistorySpan    = 30 * time.Second // how long a prefix is assumed to stay cached
+	prefixHistorySize    = 1024             // entries for each service, an even number
+	maxRegions           = 16               // regions with prefix owners of their own; further ones share the owners of others
+	reuseLearningRate    = 0.05             // weight of a request in routeStats.prefixReuse
+	maxReuse             = 0.98             // upper bound of the reuse that is planned with: at most four uses by each proxy
+
+	// bytesPerToken is how many bytes between regions cost as much as prefilling a token. 15 to 23 were measured for earlier
+	// deployments, 13 for those of docs/decisions.md; 0, 9 and 30 were tried and earned the same.
+	bytesPerToken = 18.0
 )
 
 // prefixHashSeed is the hash of no chunks.
@@ -96,7 +99,8 @@
 // region is likely to send to the owner while the prefix is cached cost less than prefilling its last shared chunk in
 // that region, too. Earlier chunks don't count: more prefixes share them, so they are likely to be prefilled anyway. How
 // often a prefix comes is estimated from the share of the route's requests whose prefix this proxy sent recently, since
-// each proxy sees few of them.
+// each proxy sees few of them: if a proxy sends a prefix u times in prefixHistorySpan on average, at random times, the share
+// that comes again is 1 - exp(-u).
 func (p *Placer) isGlobal(request *Request, demand *tokenDemand) bool {
 	if request.Route == nil || request.BodyBytes <= 0 || len(p.regions) < 2 {
 		return false
--- a/internal/system/placement/rejection.go
+++ b/internal/system/placement/rejection.go
@@ -19,6 +19,10 @@
 	minOccupiedShare = 0.5         // share of the eligible runners' slots that must be in use before a request is rejected
 	minRetryAfter    = 50 * time.Millisecond
 	maxRetryAfter    = 2 * time.Second
+
+	// retryAfterDivisor leaves a rejected client time for further attempts: it is told to come back after at most one part
+	// in so many of the time that it has left.
+	retryAfterDivisor = 4
 )
 
 // loadShedding holds, for each rank, how much time requests have and when one was last rejected.
@@ -89,6 +93,7 @@
 }
 
 // expectedWait is how long a request would wait at a runner for its prefill, or for a free slot; seconds.
+// The utilization of an engine is its prefill time as a share of lateStartShare of the target; this converts it back.
 func (p *Placer) expectedWait(service *serviceState, runner *runnerState) float64 {
 	if service.isEngine() {
 		return math.Max(runner.excessWait, runner.utilization*lateStartShare*service.latencyTarget)
@@ -118,5 +123,5 @@
 	bearable := time.Duration(maxWaitShare * float64(remaining))
 	after := time.Duration(wait*float64(time.Second)) - bearable
 	after = max(after, minRetryAfter, planPeriod)
-	return min(after, maxRetryAfter, max(remaining/4, minRetryAfter))
+	return min(after, maxRetryAfter, max(remaining/retryAfterDivisor, minRetryAfter))
 }
--- a/internal/system/placement/request.go
+++ b/internal/system/placement/request.go
@@ -40,7 +40,7 @@
 // Rejection says that no runner should take the request now. Nothing of it has run unless Request.MayHaveRun.
 type Rejection struct {
 	RetryAfter time.Duration
-	Reason     string // one of a fixed set, for the log
+	Reason     string // for the log: one of the constants in selection.go, or the caller's own
 }
 
 // hasTried reports whether an attempt of the request went to the runner.
@@ -53,5 +53,6 @@
 	return false
 }
 
-// isRetry reports whether another attempt of the request would arrive after one that may have arrived.
+// isRetry reports whether the next attempt of the request is a retry, which the budget bounds: an attempt before it got a
+// connection to its runner, so that the request may have arrived.
 func (r *Request) isRetry() bool { return len(r.TriedRunners) > r.connectFailures }
--- a/internal/system/placement/retries.go
+++ b/internal/system/placement/retries.go
@@ -16,9 +16,10 @@
 // retryBuckets is the number of buckets that a window is counted in.
 const retryBuckets = 16
 
-// retryBudget counts first attempts and retries in buckets of a sixteenth of the window.
+// retryBudget counts first attempts and retries in buckets of a sixteenth of the window. It has one bucket more than a
+// window: the current one is incomplete. See allows.
 type retryBudget struct {
-	bucket        int64
+	bucket        int64 // number of the current bucket since the clock's start; its index is the number modulo retryBuckets+1
 	firstAttempts [retryBuckets + 1]uint32
 	retries       [retryBuckets + 1]uint32
 }
@@ -31,7 +32,8 @@
 	since     time.Duration // start of the Placer, from which the allowance grows to its full size within a window
 }
 
-// retryPolicy returns this proxy's part of the budget.
+// retryPolicy returns this proxy's part of the budget. The allowance is divided by one more than the known proxies, which
+// leaves room for one that this proxy does not count.
 func (p *Placer) retryPolicy() retryPolicy {
 	policy := retryPolicy{window: p.options.RetryWindow, ratio: retryRatioShare * p.options.RetryRatio, since: p.startedAt}
 	if p.proxyCount > 0 {
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -20,18 +20,26 @@
 	rankNone        = 1 << 10
 )
 
-// The selection.
+// The reasons of rejections, as logged.
+const (
+	reasonUnknownService   = "no runner of the service is known"
+	reasonRetryBudgetSpent = "the retry budget is spent"
+	reasonNoneEligible     = "no runner may take the request"
+	reasonOverloaded       = "all runners are over their concurrency limits"
+)
+
+// The selection. For "tried" and "kept" see the package comment.
 const (
 	distanceSteps       = 8      // steps of latency in the tightest latency target that tell regions apart
-	zonePreferenceShare = 0.0125 // share of its slots by which a runner in the own zone is preferred; measured
+	zonePreferenceShare = 0.0125 // share of its slots by which a runner in the own zone is preferred; kept
 	minZonePreference   = 0.5    // slots; lower bound of that preference
 	saturatedShare      = 0.25   // share of its service's latency target for which a runner that rejected is passed over
 	connectionShare     = 0.9    // share of a runner's connections that the proxies divide
 	firstPriority       = 3      // priority of rank 0; engines take 5 for requests without one
-	priorityStep        = 2
-	longPromptSlots     = 1.0 // prefill weight in slots above which a prompt is long; measured
-	longPromptPenalty   = 4   // long prompts come after short ones of two ranks below; measured
-	lowestPriority      = 9   // the last that engines know
+	priorityStep        = 2      // between two ranks
+	longPromptSlots     = 1.0    // prefill weight in slots above which a prompt is long; tried
+	longPromptPenalty   = 4      // added for a long prompt: it comes with the short ones two ranks below; tried against none
+	lowestPriority      = 9      // the last that engines know
 )
 
 // Place selects the runner that takes a request, or rejects it. The choice reserves nothing before StartAttempt.
@@ -39,10 +47,10 @@
 	p.recordCall(now)
 	service := p.services[request.Service]
 	if service == nil || len(service.runners) == 0 {
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner of the service is known"}
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: reasonUnknownService}
 	}
 	if request.isRetry() && !service.retryBudget.allows(now, p.retryPolicy()) {
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "the retry budget is spent"}
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: reasonRetryBudgetSpent}
 	}
 	service.observeTarget(request)
 	p.refreshPlan(now, service)
@@ -50,7 +58,7 @@
 	demand := p.demandOf(service, request)
 	best, rank := p.selectRunner(now, service, request, &demand)
 	if best == nil {
-		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: "no runner may take the request"}
+		return Choice{}, &Rejection{RetryAfter: p.retryAfter(now, request, 0), Reason: reasonNoneEligible}
 	}
 	wait := p.expectedWait(service, best)
 	mayReject := rank >= rankNoSpare || service.shedding.mustYield(now, request)
@@ -58,7 +66,7 @@
 		service.shedding.recordRejection(now, request)
 		return Choice{}, &Rejection{
 			RetryAfter: p.retryAfter(now, request, wait),
-			Reason:     "all runners are over their concurrency limits",
+			Reason:     reasonOverloaded,
 		}
 	}
 	return Choice{Runner: best.ID, Address: best.Address, Priority: priority(service, request)}, nil
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -10,10 +10,10 @@
 
 // Services and routes.
 const (
-	initialTarget      = 1.0   // seconds; latency target of a service before a request of its routes comes
-	initialTimeout     = 5.0   // seconds; longest timeout before a route is seen
+	initialTarget      = 1.0   // seconds; latency target of a service before a request of its routes comes; Placer.latencyTarget at most
+	initialTimeout     = 5.0   // seconds; Placer.longestTimeout at least
 	initialOutputShare = 0.5   // routeStats.outputShare before a response
-	targetDecayRate    = 0.002 // weight of a looser target in the tightest target of a service
+	targetDecayRate    = 0.002 // weight of a request with a looser target in the tightest target of a service
 	maxRoutes          = 4096  // routes with statistics; more of them clear the table
 )
 
@@ -79,13 +79,13 @@
 
 // routeStats are running means over the responses of a route.
 type routeStats struct {
-	meanDuration float64 // of the time to the end, in seconds
+	meanDuration float64 // of the time to the end, in seconds; the latency target before a response
 	deviation    float64 // mean absolute deviation from it, in seconds
 	outputShare  float64 // generated tokens as a share of the most that requests allow
 	prefixReuse  float64 // share of requests whose prefix this proxy sent within prefixHistorySpan
 }
 
-// statsOf returns the statistics of a route; the first request of a route adds them.
+// statsOf returns the statistics of a route. The first request of a route adds them and makes its target and timeout count.
 func (p *Placer) statsOf(route *configuration.Route) *routeStats {
 	stats := p.routes[route.Name]
 	if stats == nil {
@@ -95,14 +95,20 @@
 		target := route.LatencyTarget.Seconds()
 		stats = &routeStats{meanDuration: target, deviation: target / 2, outputShare: initialOutputShare}
 		p.routes[route.Name] = stats
-		if route.LatencyTarget > 0 {
-			p.latencyTarget = math.Min(p.latencyTarget, route.LatencyTarget.Seconds())
-		}
-		p.longestTimeout = math.Max(p.longestTimeout, route.Timeout.Seconds())
+		p.recordRoute(route)
 	}
 	return stats
 }
 
+// recordRoute extends the Placer's latency target and longest timeout by those of a route. Neither ever goes back, also when
+// the route is changed or removed.
+func (p *Placer) recordRoute(route *configuration.Route) {
+	if route.LatencyTarget > 0 {
+		p.latencyTarget = math.Min(p.latencyTarget, route.LatencyTarget.Seconds())
+	}
+	p.longestTimeout = math.Max(p.longestTimeout, route.Timeout.Seconds())
+}
+
 // observeTarget records the latency target of a request's route: a tighter one counts at once, a looser one gradually, so
 // that a route which is no longer requested stops counting.
 func (s *serviceState) observeTarget(request *Request) {
--- a/internal/system/placement/slow_start.go
+++ b/internal/system/placement/slow_start.go
@@ -32,7 +32,9 @@
 	return now >= runner.slowStartNextAt && p.slowStartInterval(now, runner) > 0
 }
 
-// slowStartInterval is the time between two sends of this proxy to a runner in slow start; 0: nothing may be sent.
+// slowStartInterval is the time between two sends of this proxy to a runner in slow start; 0: nothing may be sent. The bound
+// is divided by one more than the known proxies, which leaves room for one that this proxy does not count. The
+// share also stays within an even part of the service's rate, or one request a second if that is more.
 func (p *Placer) slowStartInterval(now time.Duration, runner *runnerState) time.Duration {
 	if p.proxyCount == 0 || now < p.countedFrom {
 		return 0 // the others may not count this one yet, and its last process may have sent just now
