--- a/internal/shared/membership/config.go
+++ b/internal/shared/membership/config.go
@@ -51,6 +51,8 @@
 	joiningSyncInterval    = 1.0  // between exchanges of digests until then
 	metadataSyncInterval   = 10.0 // between exchanges of digests if only metadata differs
 	maxPagesPerInterval    = 32   // messages of records sent in a probe interval
+	agreementDelay         = 2.0  // without another digest or update, until members that agree count as all members
+	indirectProbeTTL       = 2.0  // until a ping on behalf of another member is forgotten
 	pauseThreshold         = 3.0  // delay of a tick from which the process counts as paused
 	nameClaimAttempts      = 4    // pings of a process that claims the own name, before the claim is dismissed
 	nameReclaimInterval    = 20.0 // until a withdrawn node checks whether the name is free again
--- a/internal/shared/membership/convergence.go
+++ b/internal/shared/membership/convergence.go
@@ -60,21 +60,22 @@
 }
 
 // updateConvergence updates converged and recognized. The view has converged once agreementThreshold members have sent
-// the same digest since it last changed, and none has sent another one for two probe intervals. The node is recognized
+// the same digest since it last changed, and none has sent another one for agreementDelay. The node is recognized
 // on the same condition for the names alone.
 func (n *Node) updateConvergence() {
 	if 2*(n.alive+1) < n.alive+1+n.suspects+n.dead { // this node may be in the minority of a partition
 		n.resetRecognition()
 	}
-	namesAgree := n.namesAgreements >= n.agreementThreshold() && n.now-n.namesDifferedAt >= 2*n.ProbeInterval
+	namesAgree := n.namesAgreements >= n.agreementThreshold() && n.now-n.namesDifferedAt >= agreementDelay*n.ProbeInterval
 	if !n.recognized && n.contacted && n.alive > 0 && namesAgree {
 		n.recognized = true
 	}
-	if !n.converged && n.viewAgreements >= n.agreementThreshold() && n.now-n.viewDifferedAt >= 2*n.ProbeInterval {
+	if !n.converged && n.viewAgreements >= n.agreementThreshold() && n.now-n.viewDifferedAt >= agreementDelay*n.ProbeInterval {
 		n.converged = true
 		n.convergenceTimes = append(n.convergenceTimes, n.now-n.divergedAt)
 	}
-	if n.converged && n.now-n.lastUpdateAt >= 2*n.ProbeInterval { // all members have it: further transmissions would be redundant
+	if n.converged && n.now-n.lastUpdateAt >= agreementDelay*n.ProbeInterval {
+		// All members have the updates: further transmissions would be redundant.
 		n.broadcasts = slices.DeleteFunc(n.broadcasts, func(b broadcast) bool { return b.transmits > 0 })
 	}
 }
--- a/internal/shared/membership/probe.go
+++ b/internal/shared/membership/probe.go
@@ -155,6 +155,6 @@
 		}
 	}
 	n.indirectProbes = slices.DeleteFunc(n.indirectProbes, func(p indirectProbe) bool {
-		return n.now >= p.sentAt+2*n.ProbeInterval
+		return n.now >= p.sentAt+indirectProbeTTL*n.ProbeInterval
 	})
 }
--- a/internal/shared/membership/record.go
+++ b/internal/shared/membership/record.go
@@ -15,7 +15,8 @@
 // State is the state of a member.
 type State uint8
 
-// The states of a member. Within one generation and incarnation, a later state overrides an earlier one.
+// The states of a member. Within one generation and incarnation, a later state overrides an earlier one. The code relies on
+// their order: up to Suspect a member takes part, from Dead on it does not.
 const (
 	Alive   State = iota
 	Suspect       // failed a probe; it has time to refute
--- a/internal/shared/membership/state.go
+++ b/internal/shared/membership/state.go
@@ -23,11 +23,12 @@
 	agreedNamesEpoch  uint64 // namesEpoch in which it last sent the same names digest
 }
 
-// addableDeadFraction is the fraction of DeadTTL up to which a dead member is added to the view.
+// addableDeadFraction is the fraction of DeadTTL up to which a dead member is added to the view. Members remove a dead one at
+// slightly different times; without the margin, one that has removed it would add it again from another's records.
 const addableDeadFraction = 0.9
 
-// merge merges a record into the view. from is the member that sent it, empty for this node itself. It returns this
-// node's own record if that is newer, else nil.
+// merge merges a record into the view. from is the member that sent it, empty for this node itself. It returns the record
+// that this node has of the same member if that is newer, for the sender; else nil.
 func (n *Node) merge(record Record, from string) *Record {
 	if record.Name == n.self.Name {
 		n.mergeSelf(&record)
@@ -111,7 +112,8 @@
 	peer.Record = record
 	peer.DeadFor = 0
 	if before != record.State || isNew {
-		// DeadFor is for removal alone: the share of a dead member is reserved from when this node knows.
+		// DeadFor counts for removal alone. Callers that reserve a dead member's share of a budget do so from stateSince,
+		// when this node learnt of the death.
 		peer.stateSince = n.now
 		peer.deadSince = n.now - float64(record.DeadFor)
 		n.changes = append(n.changes, Change{
--- a/internal/system/agent/fallback/poller.go
+++ b/internal/system/agent/fallback/poller.go
@@ -96,7 +96,7 @@
 }
 
 // safePoissonMean returns the mean of a Poisson distribution that is four standard deviations below a bound: polls of
-// agents that rarely exceed the bound within one second.
+// agents that rarely exceed the bound within one second. It solves mean + deviations*sqrt(mean) = bound.
 func safePoissonMean(bound float64) float64 {
 	const deviations = 4.0
 	root := math.Sqrt(deviations*deviations/4+bound) - deviations/2
--- a/internal/system/agent/proxymonitor.go
+++ b/internal/system/agent/proxymonitor.go
@@ -45,7 +45,7 @@
 		disconnected: make(chan struct{}),
 	}
 	close(p.disconnected)
-	p.timer = time.AfterFunc(time.Hour, p.tick)
+	p.timer = time.AfterFunc(time.Hour, p.tick) // stopped at once: an AfterFunc timer cannot be created without being started
 	p.timer.Stop()
 	return p
 }
--- a/internal/system/agent/upstream/candidates.go
+++ b/internal/system/agent/upstream/candidates.go
@@ -19,8 +19,9 @@
 	current        feed.PartitionSet // partitions with which it was up to date by its last reply
 }
 
-// deferUntil postpones the next poll of a busy candidate. Being busy is no failure.
-func (c *candidate) deferUntil(now, pause time.Duration) {
+// deferBy postpones the next poll of a candidate that asked for a pause since it is busy; 0: it did not. Being busy is no
+// failure.
+func (c *candidate) deferBy(now, pause time.Duration) {
 	if pause > 0 {
 		c.failures = 0
 		c.retryAt = now + pause
--- a/internal/system/agent/upstream/outcomes.go
+++ b/internal/system/agent/upstream/outcomes.go
@@ -21,11 +21,11 @@
 	if known.current.IsEmpty() {
 		s.slowSearch(now)
 		s.recordFailure(now, known)
-		known.deferUntil(now, min(reply.RetryAfter, s.options.MaxBackoff))
+		known.deferBy(now, min(reply.RetryAfter, s.options.MaxBackoff))
 		return
 	}
 	known.failures, known.retryAt = 0, 0
-	known.deferUntil(now, min(reply.RetryAfter, s.options.MaxBackoff))
+	known.deferBy(now, min(reply.RetryAfter, s.options.MaxBackoff))
 	s.staleReplies = 0
 	switch {
 	case s.state == Following && s.followed == known:
--- a/internal/system/agent/upstream/search.go
+++ b/internal/system/agent/upstream/search.go
@@ -65,7 +65,8 @@
 	return best
 }
 
-// configurationWeight exceeds the weight of all partitions of runners together.
+// configurationWeight exceeds the weight of all partitions of runners together: a feed.PartitionSet holds 63 at most besides
+// the configuration.
 const configurationWeight = 64
 
 // weight returns the value of a replica that is up to date with the given partitions: the configuration counts more
--- a/internal/system/agent/upstream/selector.go
+++ b/internal/system/agent/upstream/selector.go
@@ -33,7 +33,7 @@
 	followed        *candidate      // not nil exactly while Following
 	search          uint64          // number of the current search
 	requests        uint64          // number of polls made in searches
-	upToDateAt      []time.Duration // by partition: time of the last up-to-date reply
+	upToDateAt      []time.Duration // by partition: time of the last up-to-date reply; at first that of New
 	reconsiderAt    time.Duration
 	partialFollows  int               // times in a row that a replica without all partitions was followed
 	seekingMore     bool              // the search is for a replica with more partitions than previousCurrent
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -14,7 +14,7 @@
 	choice       placement.Choice
 	tracked      *placement.Attempt
 	conn         *runnerConn   // carries the request; nil before it is sent and after the attempt
-	connected    bool          // a connection to the runner was established
+	connected    bool          // a connection to the runner was established and the request written to it
 	sentAt       time.Duration // on the proxy's clock
 	lastEventAt  time.Duration // when the last event of the response arrived
 	progress     placement.Progress
@@ -135,11 +135,11 @@
 	case verdictRelay:
 		x.relayHead(head)
 	case verdictNotRun:
-		x.noteTried(a, false)
+		x.noteTried(a, surelyNotRun)
 		a.end(placement.Rejected)
 		x.retryOrGiveUp(parseRetryAfter(head))
 	case verdictWrongRunner:
-		x.noteTried(a, false)
+		x.noteTried(a, surelyNotRun)
 		runner := a.choice.Runner
 		a.cancel()
 		a.end(placement.Misdirected)
@@ -148,7 +148,7 @@
 	case verdictFailure:
 		x.handleFailure(a, head)
 	case verdictInvalid:
-		a.handleLost(true)
+		a.handleLost(possiblyRun)
 	}
 }
 
@@ -156,7 +156,7 @@
 func (a *attempt) handleLost(mayHaveRun bool) {
 	x := a.exchange
 	if !a.connected {
-		x.noteTried(a, false)
+		x.noteTried(a, surelyNotRun)
 		x.connectFailures++
 		a.cancel()
 		a.end(placement.ConnectFailed)
@@ -176,7 +176,7 @@
 // handleFailure processes a failure response of the runner, which may have executed the request. The response is
 // forwarded to the client unless another runner takes the request.
 func (x *exchange) handleFailure(attempt *attempt, head *httpwire.ResponseHead) {
-	x.noteTried(attempt, true)
+	x.noteTried(attempt, possiblyRun)
 	x.attempt = nil
 	if sent, _ := x.retry(); sent {
 		attempt.end(placement.Failed)
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -31,7 +31,9 @@
 	}
 }
 
-// chooseRunner asks the placer for a runner until one has a spare connection, at most maxPlacementTries times.
+// chooseRunner asks the placer for a runner until one has a spare connection, at most maxPlacementTries times. Meanwhile a
+// runner without one is listed among those tried, so that the placer ranks it last. The placer then takes the request for a
+// retry and also rejects it if the retry budget is spent.
 func (x *exchange) chooseRunner() (placement.Choice, *placement.Rejection) {
 	tried := x.request.TriedRunners
 	defer func() { x.request.TriedRunners = tried }()
@@ -64,7 +66,7 @@
 }
 
 // mayRetry reports whether the request may be sent to another runner. The placer decides on the retry budget; whether a
-// second execution is allowed is decided here.
+// second execution is allowed is decided here, whatever the placer checks besides.
 func (x *exchange) mayRetry() bool {
 	if x.request.MayHaveRun && !x.request.Route.IsIdempotent() {
 		return false
@@ -110,7 +112,14 @@
 	}
 }
 
-// noteTried excludes the attempt's runner from further placement and records whether it may have executed the request.
+// Arguments of noteTried and attempt.handleLost: whether the runner may have executed the request.
+const (
+	surelyNotRun = false
+	possiblyRun  = true
+)
+
+// noteTried has the placer choose the attempt's runner only if no other may take the request, and records whether it may
+// have executed the request.
 func (x *exchange) noteTried(attempt *attempt, mayHaveRun bool) {
 	x.request.TriedRunners = append(x.request.TriedRunners, attempt.choice.Runner)
 	x.request.MayHaveRun = x.request.MayHaveRun || mayHaveRun
--- a/internal/system/proxy/peer_notifier.go
+++ b/internal/system/proxy/peer_notifier.go
@@ -18,7 +18,7 @@
 	defaultLinkBytesPerSecond = 125e6 // if the settings give no bandwidth
 	datagramHeaderBytes       = 28    // IP and UDP headers
 	relaySeedStream           = 0x80  // of the random choice of proxies in other zones
-	maxOwnZonePeers           = 256   // notified proxies of the own zone
+	maxOwnZonePeers           = 256   // notified proxies of the own zone; further ones get no notices
 )
 
 // peerNotifier tells the other proxies which prompts runners are prefilling and which runners respond again, one
@@ -43,7 +43,7 @@
 		proxy:      p,
 		random:     random,
 		otherZones: map[string][]netip.AddrPort{},
-		refilledAt: p.loop.Now() - noticeBurstSeconds,
+		refilledAt: p.loop.Now() - noticeBurstSeconds, // the budget is full at the start
 	}
 }
 
--- a/internal/system/proxy/placer.go
+++ b/internal/system/proxy/placer.go
@@ -27,7 +27,8 @@
 	HandleFirstEvent(now time.Duration, attempt *placement.Attempt)
 	HandleEvent(now time.Duration, attempt *placement.Attempt)
 	EndAttempt(now time.Duration, attempt *placement.Attempt, outcome placement.Outcome, progress placement.Progress)
-	// MayRetry reports whether the retry budget allows another attempt.
+	// MayRetry reports whether the retry budget allows another attempt. The proxy has checked the route's other conditions
+	// itself (exchange.mayRetry), so that no Placer can let a request run twice that must not.
 	MayRetry(now time.Duration, request *placement.Request) bool
 
 	// Tick does periodic work and returns when it is to be called again.
--- a/internal/system/proxy/pool.go
+++ b/internal/system/proxy/pool.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	minConns                    = 2 // per runner, whatever its service allows
-	defaultConns                = 64
+	minConns                    = 2  // per runner, whatever its service allows
+	defaultConns                = 64 // per runner, of all proxies together, if its service names no maximum
 	defaultProxies              = 16 // while their number is unknown
 	minConnectTimeout           = 250 * time.Millisecond
 	maxConnectTimeout           = 2 * time.Second
@@ -94,7 +94,9 @@
 	}
 }
 
-// maxConns returns this proxy's share of the connections that a runner accepts.
+// maxConns returns this proxy's share of the connections that a runner accepts, idle ones and probes included. The placer
+// bounds the attempts in flight by a share of its own (Placer.connectionLimit), a little smaller if the service names a
+// maximum and the number of proxies is known.
 func (p *pool) maxConns(r *runner) int {
 	limit := defaultConns
 	if s := p.services[r.service]; s != nil && s.MaxConnections > 0 {
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -11,7 +11,7 @@
 const (
 	idleSweepInterval = 50 * time.Millisecond
 	newConnGrace      = 300 * time.Millisecond // in which the first request of a new connection may be in flight
-	maxCutsLogged     = 20
+	maxCutsLogged     = 20                     // requests cut off by the exit that are logged one by one
 )
 
 // shutdownState is the progress of a shutdown.
@@ -129,7 +129,7 @@
 // sweepIdleSessions closes idle sessions, repeatedly.
 func (p *Proxy) sweepIdleSessions() {
 	for s := range p.sessions.all() {
-		if s.isIdle() && (s.requestCount > 0 || p.now() > s.acceptedAt+newConnGrace) && s.socket.Alive() {
+		if p.maySweep(s) {
 			s.close()
 		}
 	}
@@ -137,6 +137,13 @@
 	p.runAt(p.now()+idleSweepInterval, p.sweepIdleSessions)
 }
 
+// maySweep reports whether a session can be closed without the loss of a request: it is idle, its first request is not
+// about to arrive, and nothing has arrived that was not read.
+func (p *Proxy) maySweep(s *session) bool {
+	awaitsFirstRequest := s.requestCount == 0 && p.now() <= s.acceptedAt+newConnGrace
+	return s.isIdle() && !awaitsFirstRequest && s.socket.Alive()
+}
+
 // closeListener closes the listener for clients.
 func (p *Proxy) closeListener() {
 	p.shutdown.listenerClosed = true
@@ -144,7 +151,8 @@
 	p.exitWhenDrained()
 }
 
-// exitWhenDrained stops the loop once nothing is in progress.
+// exitWhenDrained has the loop stopped after the current event if nothing is in progress. It is called whenever something
+// has ended.
 func (p *Proxy) exitWhenDrained() {
 	if p.shutdown.listenerClosed && p.openExchanges == 0 && p.sessions.count == 0 {
 		p.loop.Defer(p.exitIfDrained)
--- a/internal/system/proxy/shutdown_plan.go
+++ b/internal/system/proxy/shutdown_plan.go
@@ -14,8 +14,8 @@
 	// because signals, requests in flight and iterations of the loop may be late.
 	acceptAnyMargin = 500 * time.Millisecond
 
-	acceptAnyFraction = 0.3 // of the grace period in which requests of any length are accepted, at most
-	idleSweepDivisor  = 4
+	acceptAnyFraction = 0.3                     // of the grace period in which requests of any length are accepted, at most
+	idleSweepDivisor  = 4                       // idle sessions are closed after one part in so many of the grace period, at the latest
 	idleSweepDelay    = 1500 * time.Millisecond // clients' cached lookups have expired by then
 )
 
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -11,10 +11,14 @@
 // unacknowledged. Silence alone proves nothing because the runner may be busy, but a machine that acknowledges neither
 // bytes nor a new connection is unreachable. Then idempotent requests move to another runner, and no idle connection to the
 // machine is trusted any more.
+//
+// The suspicion here is of a machine, and keeps the pool from using it (pool.canAccept). The placer has a suspicion of its
+// own, by outcomes of attempts (package placement, health.go), and the membership knows suspect members (package gossip);
+// none of the three sets another one.
 const (
 	ackTimeout         = 400 * time.Millisecond // for the acknowledgement of a request: longer than one retransmission
 	minSilenceTimeout  = 500 * time.Millisecond // of a busy runner, before its machine is probed
-	suspectDuration    = time.Second            // no requests are sent to a suspect runner for so long
+	suspectDuration    = time.Second            // no requests are sent to a suspect runner for so long, unless it accepts a connection
 	probeTimeoutFactor = 2                      // of the usual connect timeout, for a probe
 )
 
@@ -67,7 +71,7 @@
 func (a *attempt) moveToAnotherRunner() {
 	x := a.exchange
 	before := x.request
-	x.noteTried(a, true)
+	x.noteTried(a, possiblyRun)
 	x.attempt = nil
 	if sent, _ := x.retry(); sent {
 		a.cancel()
@@ -79,7 +83,7 @@
 	x.request.MayHaveRun = before.MayHaveRun
 }
 
-// markSuspect stops sending requests to the runner for a while and closes its idle connections.
+// markSuspect stops sending requests to the runner for suspectDuration and closes its idle connections.
 func (r *runner) markSuspect() {
 	r.suspectUntil = r.pool.proxy.now() + suspectDuration
 	r.closeIdle()
--- a/internal/system/shutdown/shutdown.go
+++ b/internal/system/shutdown/shutdown.go
@@ -28,7 +28,8 @@
 }
 
 // Plan divides a grace period, which begins with the signal to stop and ends when the platform kills the processes. A
-// grace period of 0 or less counts as DefaultGracePeriod.
+// grace period of 0 or less counts as DefaultGracePeriod. Of the margin at its end, the first quarter is for the last
+// responses on their way to clients, the second for the agent to see the proxy's end; the other half is a reserve before the kill.
 func Plan(grace time.Duration) Schedule {
 	grace = GracePeriodOrDefault(grace)
 	margin := min(maxMargin, grace/marginDivisor)
