--- a/internal/system/consensus/config.go
+++ b/internal/system/consensus/config.go
@@ -18,6 +18,7 @@
 	// MaxInflightAppends bounds the unacknowledged appends to one replica.
 	MaxInflightAppends int
 	// SnapshotThreshold is the number of entries applied since the last snapshot at which Ready.CompactIndex asks for
-	// another one; 0: never.
+	// another one; 0: never. Node.Compact retains one retainedTailDivisor-th (a quarter) of it, also for a driver that
+	// ignores Ready.CompactIndex and decides itself when to compact.
 	SnapshotThreshold uint64
 }
--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -12,6 +12,14 @@
 	stepDownElectionTimeouts = 4
 )
 
+// campaignKind says why an election is started, and with that whether it may disturb a leader.
+type campaignKind uint8
+
+const (
+	campaignElection campaignKind = iota // there seems to be no leader; voters ignore it while one may hold a lease
+	campaignTransfer                     // the leader gives up its leadership by it: voters need not respect its lease
+)
+
 // preVoteYield is the pre-candidate, and its term, for which this replica last postponed its own election.
 type preVoteYield struct {
 	candidate ReplicaID
@@ -76,14 +84,14 @@
 	n.grantedBy = []ReplicaID{n.config.ID}
 	n.setCampaignDeadline(n.config.ElectionTimeout/4, n.config.ElectionTimeout/2)
 	if n.hasVoteQuorum() {
-		n.startElection(false)
+		n.startElection(campaignElection)
 		return
 	}
 	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 }
 
 // startElection starts an election in a new term. It waits for votes at least twice as long as the pre-vote took.
-func (n *Node) startElection(force bool) {
+func (n *Node) startElection(kind campaignKind) {
 	if n.role == PreCandidate {
 		n.preVoteDuration = n.now - n.preVoteStartedAt
 	}
@@ -97,7 +105,7 @@
 	n.grantedBy = nil // its own vote counts once it is persisted
 	shortest := max(n.config.ElectionTimeout/2, 2*n.preVoteDuration)
 	n.setCampaignDeadline(shortest, shortest+n.config.ElectionTimeout/2)
-	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Force: force})
+	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Force: kind == campaignTransfer})
 }
 
 // requestVotes sends a vote or pre-vote request to all other voters.
@@ -139,7 +147,7 @@
 		reply.Term = n.term
 		reply.Reject = true
 	}
-	if reply.Term > 0 {
+	if reply.Term > 0 { // a message needs a term, and a new replica has none yet
 		n.send(reply)
 	}
 	if !reply.Reject {
@@ -172,7 +180,7 @@
 	}
 	n.recordGrant(msg.From)
 	if n.hasVoteQuorum() {
-		n.startElection(false)
+		n.startElection(campaignElection)
 	}
 }
 
@@ -188,9 +196,9 @@
 	if msg.Term > n.term {
 		n.becomeFollower(msg.Term, 0)
 	}
-	free := n.vote == msg.From || n.vote == 0 && n.leaderID == 0
+	hasVoteLeft := n.vote == msg.From || n.vote == 0 && n.leaderID == 0
 	reply := Message{Kind: MessageVoteReply, To: msg.From, Reject: true}
-	if free && n.log.isUpToDate(msg.Index, msg.LogTerm) {
+	if hasVoteLeft && n.log.isUpToDate(msg.Index, msg.LogTerm) {
 		reply.Reject = false
 		n.vote = msg.From
 		n.resetElectionTimer()
--- a/internal/system/consensus/entry.go
+++ b/internal/system/consensus/entry.go
@@ -33,7 +33,8 @@
 	Data        []byte     // of the state machine
 }
 
-// HardState is what a replica must persist before it sends any message that depends on it.
+// HardState is what a replica must persist before it sends any message that depends on it. Commit alone may be older on
+// the disk: it is learnt again from the leader.
 type HardState struct {
 	Term   uint64
 	Vote   ReplicaID // voted for in Term; 0: nobody
--- a/internal/system/consensus/follower.go
+++ b/internal/system/consensus/follower.go
@@ -51,7 +51,7 @@
 			return
 		}
 		if !n.log.matchTerm(index, entries[skip-1].Term) {
-			return
+			return // contradicts a committed entry, as no leader's append does
 		}
 		entries = entries[skip:]
 	} else if !n.log.matchTerm(index, msg.LogTerm) {
--- a/internal/system/consensus/leader.go
+++ b/internal/system/consensus/leader.go
@@ -11,9 +11,11 @@
 	removed           []*progress // of members that a membership removed which is not committed yet
 	heartbeatDeadline time.Duration
 
-	round          uint64 // of the messages sent last, see startReadRound
+	// Rounds number the messages of the leader whose replies confirm its leadership. They also are times, see
+	// startReadRound and roundStart.
+	round          uint64 // of the messages sent last
 	readRound      uint64 // last round that was started for reads
-	confirmedRound uint64 // last round that a majority replied to
+	confirmedRound uint64 // last round that a majority replied to; 0: none yet
 	reads          []pendingRead
 
 	transferee       ReplicaID // 0: no transfer of leadership in progress
@@ -123,8 +125,8 @@
 	return reached
 }
 
-// recordReply records a reply of a peer to this leader. It returns nil for a reply of another term, or if this replica
-// is not the leader.
+// recordReply records a reply of a peer to this leader; a rejection confirms contact and leadership as well. It returns
+// nil for a reply of another term, or if this replica is not the leader.
 func (n *Node) recordReply(msg Message) *progress {
 	peer := n.progressOf(msg.From)
 	if n.role != Leader || msg.Term != n.term || peer == nil {
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -58,7 +58,7 @@
 	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(values)
+	slices.Sort(values) // ascending: from the lower median on there are more than half of the values
 	return values[(len(values)-1)/2]
 }
 
--- a/internal/system/consensus/message.go
+++ b/internal/system/consensus/message.go
@@ -23,12 +23,12 @@
 	Kind       MessageKind
 	From, To   ReplicaID
 	Term       uint64    // of the sender; of a pre-vote, the term that it would start
-	Index      uint64    // last log index of a candidate; index before Entries; last matching index of a reply
-	LogTerm    uint64    // term of the entry at Index
+	Index      uint64    // last log index of a candidate; index before Entries; last matching index of a reply, see Reject
+	LogTerm    uint64    // term of the entry at Index; of a rejected append, at RejectHint
 	Commit     uint64    // commit index of the leader
 	Entries    []Entry   // of an append: contiguous, from Index+1 on
 	Snapshot   *Snapshot // of an install-snapshot message
-	Reject     bool      // of a reply
+	Reject     bool      // of a reply; that to an append then has the Index of the append
 	RejectHint uint64    // of a rejected append: the index at which the logs may agree
 	// Round of an append or a snapshot is repeated by its reply, which confirms leadership for reads and leases. An append
 	// without entries and with Round 0 only announces a commit index; it is answered only by a rejection.
--- a/internal/system/consensus/snapshot.go
+++ b/internal/system/consensus/snapshot.go
@@ -1,5 +1,9 @@
 package consensus
 
+// retainedTailDivisor is the part of Config.SnapshotThreshold that Node.Compact retains for slow followers: one of so
+// many.
+const retainedTailDivisor = 4
+
 // nextCompaction returns the applied index at which a snapshot is due, or 0.
 func (n *Node) nextCompaction() uint64 {
 	applied := n.log.applied
@@ -36,6 +40,6 @@
 func (n *Node) Compact(index uint64, data []byte, tailBytes int) {
 	snapshot, ok := n.CreateSnapshot(index, data)
 	if ok {
-		n.log.compact(snapshot, n.config.SnapshotThreshold/4, tailBytes)
+		n.log.compact(snapshot, n.config.SnapshotThreshold/retainedTailDivisor, tailBytes)
 	}
 }
--- a/internal/system/consensus/status.go
+++ b/internal/system/consensus/status.go
@@ -62,7 +62,7 @@
 	}
 	status.LeaseExpiry = n.LeaseExpiry()
 	status.Transferring = n.leaderState.transferee != 0
-	status.LastLeaderContact = time.Duration(n.leaderState.confirmedRound)
+	status.LastLeaderContact = roundStart(n.leaderState.confirmedRound)
 	status.Match = map[ReplicaID]uint64{n.config.ID: n.log.durable}
 	status.LastContact = map[ReplicaID]time.Duration{}
 	for _, peer := range n.leaderState.peers {
@@ -76,7 +76,7 @@
 // of its term.
 func (n *Node) lastCaughtUp() time.Duration {
 	if n.role == Leader && n.committedInTerm() {
-		return max(n.caughtUpAt, time.Duration(n.leaderState.confirmedRound))
+		return max(n.caughtUpAt, roundStart(n.leaderState.confirmedRound))
 	}
 	return n.caughtUpAt
 }
--- a/internal/system/consensus/transfer.go
+++ b/internal/system/consensus/transfer.go
@@ -66,14 +66,16 @@
 	n.sendEarly(Message{Kind: MessageTimeoutNow, To: peer.id})
 }
 
-// abortTransfer ends a transfer that has timed out.
+// abortTransfer ends a transfer that has timed out: a leader that has to step down resigns, one that has already told the
+// transferee to start its election starts one itself, and any other leads on.
 func (n *Node) abortTransfer() {
 	if n.now < n.noCampaignUntil {
 		n.becomeFollower(n.term, 0)
 		return
 	}
 	if n.leaderState.timeoutNowSent && n.promotable() {
-		n.startElection(true) // the transferee may still start one in this term at any time, so that no lease would be safe
+		// The transferee may still start one in this term at any time, so that no lease would be safe.
+		n.startElection(campaignTransfer)
 		return
 	}
 	n.leaderState.transferee = 0
@@ -88,5 +90,5 @@
 		return
 	}
 	n.failedElections = 0
-	n.startElection(true)
+	n.startElection(campaignTransfer)
 }
