--- a/internal/system/replica/departures.go
+++ b/internal/system/replica/departures.go
@@ -38,8 +38,9 @@
 	})
 }
 
-// hasDeparted reports whether a replica announced its departure and has sent nothing since. lastReceivedAt is when
-// its last message was received; 0 means never.
+// hasDeparted reports whether a replica announced its departure and has sent nothing since; messages within departureTTL
+// of the announcement may still be the last ones of its process. lastReceivedAt is when its last message was received; 0
+// means never.
 func (d *departures) hasDeparted(id consensus.ReplicaID, lastReceivedAt time.Duration) bool {
 	return slices.ContainsFunc(d.notices, func(notice departure) bool {
 		return notice.id == id && lastReceivedAt <= notice.receivedAt+departureTTL
--- a/internal/system/replica/disk_writer.go
+++ b/internal/system/replica/disk_writer.go
@@ -35,7 +35,7 @@
 	mutex        sync.Mutex
 	queue        []writeJob
 	queuedBytes  int           // of queued jobs and those being written
-	writeStarted time.Duration // first attempt of the current write on the host's clock; 0: none
+	writeStarted time.Duration // first attempt of the current write, see writeStartTime; 0: none
 	lastError    error         // of the last attempt of the current write, or of opening the store
 
 	// Guarded by the host's mutex.
@@ -190,7 +190,7 @@
 	if disk.store == nil {
 		return true
 	}
-	startedAt := max(h.now(), 1)
+	startedAt := h.writeStartTime()
 	disk.recordAttempt(startedAt, nil)
 	backoff := minDiskBackoff
 	for {
@@ -213,6 +213,10 @@
 	}
 }
 
+// writeStartTime returns the present time on the host's clock as a value for diskWriter.writeStarted: never 0, which
+// means there that no write is in progress.
+func (h *Host) writeStartTime() time.Duration { return max(h.now(), 1) }
+
 // waitDiskBackoff waits and doubles the backoff up to maxDiskBackoff; false if the host stops first.
 func (h *Host) waitDiskBackoff(backoff *time.Duration) bool {
 	timer := time.NewTimer(*backoff)
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -53,12 +53,12 @@
 type Host struct {
 	options Options
 	log     *zap.Logger
-	self    consensus.Member // its ID is 0 until the store is open
-	address netip.AddrPort   // of this machine's control RPC
-	started time.Time        // the origin of the clock, see now
+	address netip.AddrPort // of this machine's control RPC
+	started time.Time      // the origin of the clock, see now
 
-	// mutex guards what follows up to nextWakeUp, and all groups.
+	// mutex guards what follows up to stopping, and all groups. The list of groups itself is fixed by New.
 	mutex               sync.Mutex
+	self                consensus.Member // its ID is 0 until the groups are started, and fixed from then on
 	groups              []*group
 	peers               *peerSet
 	joinRequests        joinRequests
@@ -67,12 +67,15 @@
 	knownAddresses      []netip.AddrPort // where other replicas may be, oldest first
 	nextMembershipCheck time.Duration
 	nextJoin            time.Duration
-	storeCorrupted      bool          // a corrupt store was moved aside: this replica does not found
 	nextWakeUp          time.Duration // when run ticks next
 	failed              bool          // OnFailure was called
 	leaving             bool          // Leave was called
 	stopping            bool
 
+	// storeCorrupted tells that an earlier store of this machine was lost or moved aside, so that this replica must not
+	// found the groups. It is owned by the goroutine of runDiskWriter.
+	storeCorrupted bool
+
 	wake    chan struct{}
 	context context.Context
 	cancel  context.CancelFunc
@@ -155,7 +158,7 @@
 	}
 }
 
-// tick does what is due and returns after how long to call it again.
+// tick does what is due on the disk, in the consensus nodes and in the memberships, and returns after how long to call it again.
 func (h *Host) tick() time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -315,7 +318,9 @@
 		Seed:               seed,
 		MaxAppendBytes:     maxAppendBytes,
 		MaxInflightAppends: maxInflightAppends,
-		SnapshotThreshold:  4 * retainedEntries,
+		// This host decides itself when to make snapshots, see dueSnapshot, and ignores Ready.CompactIndex. The threshold
+		// only bounds the entries that Node.Compact retains: a quarter of it.
+		SnapshotThreshold: 4 * retainedEntries,
 	}
 }
 
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -52,7 +52,8 @@
 }
 
 // locateLeader returns the client of the machine that leads a group, or local if this machine does; neither if the
-// leader is unknown. leaderChanged is closed once the group has another leader.
+// leader is unknown or this machine is transferring its leadership. leaderChanged is closed once the group has another
+// leader.
 func (h *Host) locateLeader(g *group) (leader *rpc.Client, local bool, leaderChanged <-chan struct{}) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -117,8 +118,8 @@
 	return p
 }
 
-// proposeRemote proposes through the machine that leads. The error is the reason for an outcome that is not
-// OutcomeCommitted.
+// proposeRemote proposes through the machine that leads. The reply is valid whether or not there is an error: that is
+// only the reason to give for an outcome other than OutcomeCommitted.
 func proposeRemote(ctx context.Context, leader *rpc.Client, partition feed.Partition,
 	command []byte) (ProposeReply, error) {
 	wait := remainingTime(ctx, proposeTimeout)
@@ -132,7 +133,7 @@
 	request := ProposeRequest{Partition: partition, Command: command, Wait: wait}
 	reply, err := proposeCall.LongPoll(ctx, leader, wait, &request)
 	if err == nil {
-		return *reply, context.DeadlineExceeded
+		return *reply, context.DeadlineExceeded // the reason if the leader could not tell the outcome within wait
 	}
 	var unreachable *rpc.UnreachableError
 	if errors.As(err, &unreachable) {
--- a/internal/system/replica/store.go
+++ b/internal/system/replica/store.go
@@ -35,7 +35,7 @@
 func (h *Host) openWithRetry() bool {
 	backoff := minDiskBackoff
 	for {
-		startedAt := max(h.now(), 1)
+		startedAt := h.writeStartTime()
 		h.disk.recordAttempt(startedAt, nil)
 		id, stored, err := h.loadStored()
 		if err == nil {
--- a/internal/system/replica/voter_plan.go
+++ b/internal/system/replica/voter_plan.go
@@ -159,7 +159,8 @@
 	return view.isResponsive(i) && !view.members[i].leaving
 }
 
-// bestVoters returns the set with the highest score; the present voters if no other set scores higher.
+// bestVoters returns the set with the highest score; the present voters if no other set scores higher. It rates every
+// subset of the eligible members, from the largest number down: at most 1<<maxVoterCandidates.
 func (view *membershipView) bestVoters(voters *voterCandidates) voterSet {
 	best, bestScore := voters.voters, view.score(voters.voters, voters)
 	for set := voters.eligible; set > 0; set = (set - 1) & voters.eligible {
@@ -173,11 +174,11 @@
 	return best
 }
 
-// shrinksTooSoon reports whether a set is smaller than the present odd number of voters although a voter that it
-// omits is not lost for good.
+// shrinksTooSoon reports whether a set is smaller than the present number of voters, or than the odd number below it,
+// although a voter that it omits is not lost for good.
 func (view *membershipView) shrinksTooSoon(set voterSet, voters *voterCandidates) bool {
-	least := (voters.voters.size()-1)/2*2 + 1
-	return set.size() < least && voters.voters&^set&^voters.lost != 0
+	largestOdd := (voters.voters.size()-1)/2*2 + 1 // that the present voters hold: of an even number, one less
+	return set.size() < largestOdd && voters.voters&^set&^voters.lost != 0
 }
 
 // isValidSize reports whether a group may have so many voters: an odd number up to targetVoters, or both members of
@@ -186,26 +187,43 @@
 	return size <= max(view.targetVoters, 1) && (size%2 == 1 || size == 2 && eligible == 2)
 }
 
-// voterScore orders sets of voters by lexicographic comparison, the most important criterion first.
-type voterScore [7]int
+// voterScore orders sets of voters by lexicographic comparison, the most important criterion first. Higher is better.
+type voterScore [criteriaCount]int
+
+// The criteria of a voterScore.
+const (
+	survivesRegionLoss = iota // 1 if a majority remains whichever region is lost, if operators want that
+	survivesZoneLoss          // 1 if a majority remains whichever zone is lost
+	survivableLosses          // number of available voters beyond a majority
+	disksPerCommit            // disks that hold each committed entry for certain, counted up to 2
+	fewLostDisks              // minus the voters that never return
+	fewVoteChanges            // minus the members whose vote changes
+	keepsLeader               // 1 if the leader keeps its vote
+	criteriaCount
+)
+
+// unavailableScore is the score of a set that could not commit anything.
+var unavailableScore = voterScore{survivesRegionLoss: -1}
 
 // score rates a set of voters. A set whose available members are no majority is rated lowest.
 func (view *membershipView) score(set voterSet, voters *voterCandidates) (score voterScore) {
 	quorum := set.size()/2 + 1
 	available := set & voters.available
 	if available.size() < quorum {
-		return voterScore{-1}
+		return unavailableScore
 	}
+	regionOf := func(m *memberState) string { return view.zoneRegions[m.Zone] }
+	zoneOf := func(m *memberState) string { return m.Zone }
 	if view.surviveRegionLoss {
-		score[0] = survivesLoss(view, available, quorum, func(m *memberState) string { return view.zoneRegions[m.Zone] })
+		score[survivesRegionLoss] = survivesLoss(view, available, quorum, regionOf)
 	}
-	score[1] = survivesLoss(view, available, quorum, func(m *memberState) string { return m.Zone })
-	score[2] = available.size() - quorum
-	score[3] = min(quorum, 2)
-	score[4] = -(set & voters.diskLost).size()
-	score[5] = -(set ^ voters.voters).size()
+	score[survivesZoneLoss] = survivesLoss(view, available, quorum, zoneOf)
+	score[survivableLosses] = available.size() - quorum
+	score[disksPerCommit] = min(quorum, 2)
+	score[fewLostDisks] = -(set & voters.diskLost).size()
+	score[fewVoteChanges] = -(set ^ voters.voters).size()
 	if i := view.indexOf(view.self); i >= 0 && i < maxVoterCandidates && set.has(i) {
-		score[6] = 1
+		score[keepsLeader] = 1
 	}
 	return score
 }
