--- a/internal/shared/eventloop/conn.go
+++ b/internal/shared/eventloop/conn.go
@@ -34,7 +34,7 @@
 	peerReadAll         bool // see PeerReadAll
 	discardedBytes      int  // while lingering
 	lingerTimer         *Timer
-	failed              bool             // Closed is due
+	failed              bool             // Closed is due, or the connection was closed: nothing is read or written any more
 	readBeforeReset     bool             // see ReadBeforeReset
 	hungUp              bool             // see HungUp
 	reservedBy          *Listener        // the reserved listener that accepted it; nil: none
--- a/internal/shared/eventloop/doc.go
+++ b/internal/shared/eventloop/doc.go
@@ -5,7 +5,9 @@
 // from within a call of the owner: what goes wrong in Connect or Write is reported by Closed later, and after the owner
 // has closed a connection it gets no more callbacks.
 //
-// An iteration of the loop first handles posted functions and ready sockets, then the timers that are due. Now is in
+// An iteration of the loop first reads the connections with ReadFirst, then handles ready sockets and posted functions in
+// the order in which epoll reports them, those of reserved listeners before all others, and at last the timers that are
+// due. What Defer was given runs after each of these events. Now is in
 // monotonic seconds anchored to Unix time. It advances when an iteration starts and before each datagram is handled, so
 // that a datagram which arrives during a long iteration is not dated before it was sent.
 //
--- a/internal/shared/eventloop/loop.go
+++ b/internal/shared/eventloop/loop.go
@@ -139,7 +139,7 @@
 // Stop ends Run after the current iteration.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run serves until Stop, then closes all sockets.
+// Run serves until Stop, then closes all sockets. It returns the error of a failed wait for events.
 func (l *Loop) Run() error {
 	defer l.closeAll()
 	events := make([]unix.EpollEvent, maxEventsPerWait)
--- a/internal/system/agent/overlay/drained.go
+++ b/internal/system/agent/overlay/drained.go
@@ -22,8 +22,8 @@
 
 func newDrainedRunners() drainedRunners { return drainedRunners{lastSeen: map[string]time.Duration{}} }
 
-// apply records a draining runner, and marks a runner as draining that was seen draining before. It reports whether it
-// changed the runner.
+// apply records a draining runner, and sets Draining of a runner that was seen draining before: it alters the caller's
+// runner, and reports whether it did.
 func (d *drainedRunners) apply(now time.Duration, runner *discovery.Runner) bool {
 	_, known := d.lastSeen[runner.ID]
 	if !known && !runner.Draining {
--- a/internal/system/agent/overlay/list.go
+++ b/internal/system/agent/overlay/list.go
@@ -84,7 +84,7 @@
 	}
 	for key, runner := range listed {
 		delete(overlay.misses, key)
-		t.drainedRunners.apply(now, runner)
+		t.drainedRunners.apply(now, runner) // may set runner.Draining, whatever the list says
 		if item, known := table.Item(now, key); known && !differs(item, runner) {
 			continue
 		}
--- a/internal/system/agent/overlay/tables.go
+++ b/internal/system/agent/overlay/tables.go
@@ -95,7 +95,7 @@
 	table := t.served[partition]
 	to := servedIndex(t.base[partition].Index())
 	if len(overlay.altered) > 0 {
-		to++
+		to++ // low bits of 0 would claim that nothing of the platform's list is served
 	}
 	table.Apply(now, feed.Batch{Partition: partition, From: table.Index(), To: to, Items: items})
 }
--- a/internal/system/agent/proxystatus/tracker.go
+++ b/internal/system/agent/proxystatus/tracker.go
@@ -38,7 +38,8 @@
 	return "unknown"
 }
 
-// ReadyTimeout is how long a report that the proxy is ready is valid.
+// ReadyTimeout is how long a report that the proxy is ready is valid. The proxy reports every second, so that one report
+// may be lost and another one late.
 const ReadyTimeout = 2500 * time.Millisecond
 
 // Tracker is the state of the proxy on the agent's machine. The zero value is a proxy that has not reported. Times are
--- a/internal/system/configuration/model.go
+++ b/internal/system/configuration/model.go
@@ -51,7 +51,7 @@
 	HealthPath        string
 	MaxConnections    int           // connections that a runner accepts from all callers together
 	SlowStartDuration time.Duration // of a runner after its start
-	SlowStartRate     float64       // requests per second that a runner in slow start can take; 0: no limit
+	SlowStartRate     float64       // requests per second that a runner in slow start can take; 0: none but the deployment's allowance
 	Backend           *Backend      // nil: not an inference engine
 }
 
--- a/internal/system/gossip/view.go
+++ b/internal/system/gossip/view.go
@@ -47,13 +47,13 @@
 	members []Member
 }
 
-// viewChanged reports whether the view has changed since the last call.
+// viewChanged reports whether the view has changed since the last call. The caller holds the mutex.
 func (l *Memberlist) viewChanged() bool {
-	now := l.digests()
-	if now == l.notifiedDigests {
+	current := l.digests()
+	if current == l.notifiedDigests {
 		return false
 	}
-	l.notifiedDigests = now
+	l.notifiedDigests = current
 	return true
 }
 
@@ -61,10 +61,10 @@
 	return digests{view: l.node.Digest(), metadata: l.node.MetadataDigest()}
 }
 
-// refresh renews the snapshot if the view has changed.
+// refresh renews the snapshot if the view has changed. The caller holds the mutex.
 func (l *Memberlist) refresh() {
-	now := l.digests()
-	if l.snapshot.members != nil && l.snapshot.digests == now {
+	current := l.digests()
+	if l.snapshot.members != nil && l.snapshot.digests == current {
 		return
 	}
 	view := l.node.View()
@@ -72,7 +72,7 @@
 	for i := range view.Members {
 		members = append(members, l.newMember(&view.Members[i]))
 	}
-	l.snapshot = snapshot{digests: now, members: members}
+	l.snapshot = snapshot{digests: current, members: members}
 }
 
 func (l *Memberlist) newMember(entry *membership.Member) Member {
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -18,11 +18,11 @@
 	Address        netip.AddrPort
 	Zone           string
 	Region         string
-	Capacity       int
+	Capacity       int // requests that it serves at a time; 0: the capacity of its service's engine, or 1
 	Draining       bool
 	SlowStartUntil time.Duration // end of slow start; 0: not in slow start
 	TerminatesAt   time.Duration // announced end of the machine; 0: none announced
-	Models         []string
+	Models         []string      // names; empty: all
 }
 
 // runnerState is a runner and what this proxy knows of it. Loads are in slots.
--- a/internal/system/placement/selection.go
+++ b/internal/system/placement/selection.go
@@ -93,17 +93,17 @@
 	demand *tokenDemand) (*runnerState, int) {
 	var choice capacity.Selection[*runnerState]
 	owners := p.ownersOf(now, service, request, demand)
-	shared := service.isSharedFault()
+	sharedFault := service.isSharedFault()
 	for _, runner := range service.runners {
 		if !p.isEligible(now, request, runner) {
 			continue
 		}
-		offer := capacity.Candidate{Rank: p.rank(now, request, runner, demand, &owners, shared)}
-		if offer.Rank == rankSpareRemote {
-			offer.Distance = p.distance(runner)
+		candidate := capacity.Candidate{Rank: p.rank(now, request, runner, demand, &owners, sharedFault)}
+		if candidate.Rank == rankSpareRemote {
+			candidate.Distance = p.distance(runner)
 		}
-		offer.SpareCapacity = runner.spareSlots + p.preference(service, runner, demand, &owners)
-		choice.Add(runner, offer, &p.random)
+		candidate.SpareCapacity = runner.spareSlots + p.preference(service, runner, demand, &owners)
+		choice.Add(runner, candidate, &p.random)
 	}
 	if !choice.Found {
 		return nil, rankNone
--- a/internal/system/proxy/shutdown_plan.go
+++ b/internal/system/proxy/shutdown_plan.go
@@ -16,7 +16,7 @@
 
 	acceptAnyFraction = 0.3                     // of the grace period in which requests of any length are accepted, at most
 	idleSweepDivisor  = 4                       // idle sessions are closed after one part in so many of the grace period, at the latest
-	idleSweepDelay    = 1500 * time.Millisecond // clients' cached lookups have expired by then
+	idleSweepDelay    = 1500 * time.Millisecond // the members know of the shutdown by then; some clients may still have cached lookups
 )
 
 // shutdownPlan gives the times of the steps of a shutdown, counted from the signal: the proxy's own ones and those that
