--- a/internal/system/feed/replication.go
+++ b/internal/system/feed/replication.go
@@ -32,7 +32,7 @@
 		if !t.isCurrent(c) {
 			continue
 		}
-		last := len(batch.Items) - 1
+		last := len(batch.Items) - 1 // not negative once size exceeds maxBytes
 		if maxBytes > 0 && size > maxBytes && c.index > batch.Items[last].Index {
 			batch.To = batch.Items[last].Index
 			break
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -180,7 +180,7 @@
 
 // compactChanges drops stale changes once they outnumber the others.
 func (t *Table) compactChanges() {
-	const slack = 64
+	const slack = 64 // so that a table of few keys is not compacted at each change
 	if len(t.changes) > 2*len(t.records)+slack {
 		t.changes = slices.DeleteFunc(t.changes, func(c change) bool { return !t.isCurrent(c) })
 	}
--- a/internal/system/rpc/call.go
+++ b/internal/system/rpc/call.go
@@ -29,7 +29,7 @@
 }
 
 // Invoke calls and waits for the reply until the context ends, or for ClientOptions.CallTimeout if that is shorter. A
-// call that times out on a connection from which nothing was received meanwhile closes the connection. The error is an
+// call that times out on a connection on which no reply to any call came meanwhile closes the connection. The error is an
 // *UnreachableError, a *NoReplyError or a *RemoteError; nothing is sent twice.
 func (c Call[Argument, Reply]) Invoke(ctx context.Context, client *Client, argument *Argument) (*Reply, error) {
 	return c.invoke(ctx, client, client.options.CallTimeout, argument)
--- a/internal/system/rpc/client.go
+++ b/internal/system/rpc/client.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// abandon gives up a call and returns its error. A connection from which nothing was received since the call began is
-// closed if the call timed out.
+// abandon gives up a call and returns its error. If the call timed out, a connection on which no reply to any call was
+// received since it began is closed.
 func (c *Client) abandon(conn *connection, name string, repliesBefore uint64, cause error) error {
 	silent := conn.codec.replies.Load() == repliesBefore
 	if silent && errors.Is(cause, context.DeadlineExceeded) {
--- a/internal/system/rpc/connection.go
+++ b/internal/system/rpc/connection.go
@@ -31,8 +31,8 @@
 	return conn
 }
 
-// collectReplies receives the replies of sends until fewer than window are pending. It returns the error of a send
-// that broke the connection.
+// collectReplies receives the replies of sends that have arrived, and waits for further ones only until fewer than window
+// are pending. It returns the error of a send that broke the connection; the errors of handlers are dropped.
 func (conn *connection) collectReplies(ctx context.Context, window int) error {
 	for conn.pendingSends > 0 {
 		var call *netrpc.Call
--- a/internal/system/rpc/server_codec.go
+++ b/internal/system/rpc/server_codec.go
@@ -9,7 +9,7 @@
 // serverCodec is the net/rpc codec of a server's connection. It reads a request only when a slot is free.
 type serverCodec struct {
 	stream    *stream
-	slots     chan struct{} // one element for each call that is read or running
+	slots     chan struct{} // one element for each call that is read or running; net/rpc responds to each, which frees it
 	closeOnce sync.Once
 	onClose   func()
 }
--- a/internal/system/storage/schema.go
+++ b/internal/system/storage/schema.go
@@ -34,14 +34,14 @@
 );`
 
 // pragmas configure a connection, beside the locking mode (see openDatabase). With a write-ahead log and full
-// synchronisation a commit costs one sync.
+// synchronisation a commit costs one sync. A mapped file would turn a disk fault into a signal instead of an error.
 var pragmas = []string{
-	"PRAGMA page_size=4096",
+	"PRAGMA page_size=4096", // bytes
 	"PRAGMA journal_mode=WAL",
 	"PRAGMA synchronous=FULL",
-	"PRAGMA wal_autocheckpoint=256",
-	"PRAGMA journal_size_limit=4194304",
-	"PRAGMA cache_size=-256",
+	"PRAGMA wal_autocheckpoint=256",     // pages: 1 MiB
+	"PRAGMA journal_size_limit=4194304", // bytes: 4 MiB
+	"PRAGMA cache_size=-256",            // a negative number is in KiB
 	"PRAGMA mmap_size=0",
 	"PRAGMA temp_store=MEMORY",
 }
--- a/internal/system/storage/store.go
+++ b/internal/system/storage/store.go
@@ -11,8 +11,9 @@
 
 // Store is an open state folder. Its methods may be called concurrently, except as they say.
 type Store struct {
-	path           string // of the database file
-	database       *database
+	path     string    // of the database file
+	database *database // owned by the writer goroutine from Open on; nil: a reopening failed
+	// replica and initialized are set by open and Initialize; the writer goroutine reads them when it reopens the file.
 	replica        consensus.ReplicaID
 	initialized    bool                    // replica is set
 	hasPredecessor bool                    // the folder has held another replica's file
@@ -96,7 +97,7 @@
 func (s *Store) HasPredecessor() bool { return s.hasPredecessor }
 
 // Initialize makes an empty folder that of a replica and applies its first updates, in one transaction. It must not be
-// called concurrently with Identity.
+// called concurrently with any other method.
 func (s *Store) Initialize(replica consensus.ReplicaID, updates ...Update) error {
 	err := s.submit("initialize the state folder", func(db *database) error {
 		if err := db.insertIdentity(replica); err != nil {
--- a/internal/system/storage/update.go
+++ b/internal/system/storage/update.go
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// keysPerPartition is the size of a partition's range of keys in the table of entries.
+// keysPerPartition is the size of a partition's range of keys in the table of entries: indexes must be below it. With
+// partitions of 16 bits, all keys fit into SQLite's signed integers of 64 bits. It is part of the stored form.
 const keysPerPartition = 1 << 44
 
 // entryKey returns the primary key of an entry.
