--- a/internal/system/control/api/api.go
+++ b/internal/system/control/api/api.go
@@ -41,7 +41,7 @@
 	// longer would not help there, and callers are to try another machine.
 	IsolatedResponseTimeout = 100 * time.Millisecond
 
-	// parseTimePerMiB is added to the timeout for large bodies, see parseAllowance.
+	// parseTimePerMiB is added to the timeout for each MiB of a large body, see parseAllowance.
 	parseTimePerMiB = 2 * time.Second
 	// maxCalls bounds the concurrent calls; further ones get 503.
 	maxCalls = 64
@@ -90,8 +90,8 @@
 	a.mux.HandleFunc("POST "+PathReplace, a.handleChange(kindReplace))
 	a.mux.HandleFunc("POST "+PathChange, a.handleChange(kindChange))
 	a.mux.HandleFunc("GET "+PathRead, a.handleRead)
-	a.mux.HandleFunc("POST "+PathDrainBegin+"{zone}", a.handleEvacuation(true))
-	a.mux.HandleFunc("POST "+PathDrainFinish+"{zone}", a.handleEvacuation(false))
+	a.mux.HandleFunc("POST "+PathDrainBegin+"{zone}", a.handleEvacuation(evacuateZone))
+	a.mux.HandleFunc("POST "+PathDrainFinish+"{zone}", a.handleEvacuation(endEvacuation))
 	a.mux.HandleFunc("GET "+PathStatus, a.handleStatus)
 	return a
 }
@@ -113,18 +113,20 @@
 	writeJSON(w, http.StatusOK, a.options.Status())
 }
 
-// responseTimeout is the time that a call has from now on, with a body of so many bytes.
-func (a *API) responseTimeout(bytes int) time.Duration {
+// responseTimeout is the time that a call has from now on, with a body of so many bytes. A machine without contact to
+// the majority gives a large body no more time: it could not commit the change anyway.
+func (a *API) responseTimeout(bodyBytes int) time.Duration {
 	if a.options.Replicas.InContact(feed.ConfigurationPartition) {
-		return ResponseTimeout + parseAllowance(bytes)
+		return ResponseTimeout + parseAllowance(bodyBytes)
 	}
 	return IsolatedResponseTimeout
 }
 
 // parseAllowance is the time that a large body has besides ResponseTimeout: parsing takes about 0.1 s of a core per
-// megabyte. Callers extend their own timeout accordingly.
-func parseAllowance(bytes int) time.Duration {
-	return time.Duration(max(bytes-largeBodyBytes, 0)) * parseTimePerMiB >> 20
+// megabyte, the rest is margin. Callers have to extend their own timeout, too. Package client does so by less; a request
+// that it sends again finds the result of the first in the documentCache.
+func parseAllowance(bodyBytes int) time.Duration {
+	return time.Duration(max(bodyBytes-largeBodyBytes, 0)) * parseTimePerMiB >> 20 // per MiB to per byte
 }
 
 // barrier retries until the local state holds all that was acknowledged before the call, or the context ends. The error
--- a/internal/system/control/api/evacuation.go
+++ b/internal/system/control/api/evacuation.go
@@ -12,7 +12,13 @@
 	"cinderroad/internal/system/feed"
 )
 
-// handleEvacuation serves PathDrainBegin (evacuated) and PathDrainFinish.
+// What handleEvacuation is to make of a zone.
+const (
+	evacuateZone  = true
+	endEvacuation = false
+)
+
+// handleEvacuation serves PathDrainBegin (evacuateZone) and PathDrainFinish (endEvacuation).
 func (a *API) handleEvacuation(evacuated bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("zone")
--- a/internal/system/control/api/response.go
+++ b/internal/system/control/api/response.go
@@ -17,7 +17,7 @@
 const (
 	codeInvalid     = "invalid"
 	codeConflict    = "version_conflict"
-	codeUnavailable = "no_majority"
+	codeUnavailable = "no_majority" // also of outcomes that are unknown for another reason, and of incomplete bodies
 	codeTooLarge    = "too_large"
 	codeNotFound    = "not_found"
 	codeBusy        = "busy"
--- a/internal/system/control/runnersync/sync.go
+++ b/internal/system/control/runnersync/sync.go
@@ -22,6 +22,12 @@
 	confirmingLists = 2
 )
 
+// viewIndex returns the index of a runner partition in the Syncer's slices: those begin with partition 1.
+func viewIndex(partition feed.Partition) int { return int(partition) - 1 }
+
+// partitionAt is the inverse of viewIndex.
+func partitionAt(index int) feed.Partition { return feed.Partition(index + 1) }
+
 // syncPartitions makes the owned partitions equal to the list. They are written concurrently: one without a leader does
 // not hold up the others.
 func (s *Syncer) syncPartitions(ctx context.Context, list []discovery.Runner) {
@@ -35,7 +41,7 @@
 	defer cancel()
 	var writers sync.WaitGroup
 	for partition := range s.owned.All() {
-		i := int(partition) - 1
+		i := viewIndex(partition)
 		writers.Go(func() { s.syncPartition(ctx, i, listed[i]) })
 	}
 	writers.Wait()
@@ -49,8 +55,8 @@
 		byPartition[i] = map[string]*discovery.Runner{}
 	}
 	for i := range list {
-		partition := int(feed.PartitionOf(list[i].Service, len(byPartition))) - 1
-		byPartition[partition][feed.KeyPrefixRunner+list[i].ID] = &list[i]
+		partition := feed.PartitionOf(list[i].Service, len(byPartition))
+		byPartition[viewIndex(partition)][feed.KeyPrefixRunner+list[i].ID] = &list[i]
 	}
 	return byPartition
 }
@@ -60,7 +66,7 @@
 	counts := make(map[string]int)
 	stored := 0
 	for partition := range s.owned.All() {
-		i := int(partition) - 1
+		i := viewIndex(partition)
 		stored += len(s.views[i].runners)
 		for key := range s.views[i].runners {
 			if listed[i][key] == nil {
@@ -79,7 +85,8 @@
 	return !s.confirmDeletions || s.missingCounts[key] >= confirmingLists
 }
 
-// syncPartition writes what differs in a partition; after a conflict it compares again.
+// syncPartition writes what differs in a partition; after a conflict it compares again. It runs concurrently for several
+// partitions and changes only their own elements of the Syncer's slices, and listChanged.
 func (s *Syncer) syncPartition(ctx context.Context, index int, listed map[string]*discovery.Runner) {
 	for range maxWriteAttempts {
 		if err := s.catchUp(ctx, index); err != nil {
@@ -89,7 +96,7 @@
 		equal, err := s.proposeDiff(ctx, index, listed)
 		if err != nil {
 			s.stale[index] = true
-			s.options.Log.Debug("runner change not committed", zap.Int("partition", index+1), zap.Error(err))
+			s.options.Log.Debug("runner change not committed", zap.Int("partition", int(partitionAt(index))), zap.Error(err))
 			return
 		}
 		if equal {
@@ -104,8 +111,8 @@
 	if !s.stale[index] {
 		return nil
 	}
-	if err := s.options.Replicas.Barrier(ctx, feed.Partition(index+1)); err != nil {
-		return fmt.Errorf("runnersync: catch up with partition %d: %w", index+1, err)
+	if err := s.options.Replicas.Barrier(ctx, partitionAt(index)); err != nil {
+		return fmt.Errorf("runnersync: catch up with partition %d: %w", partitionAt(index), err)
 	}
 	s.stale[index] = false
 	return nil
@@ -128,13 +135,13 @@
 		return true, nil
 	}
 	s.listChanged.Store(true)
-	if !s.ownedPartitions().Contains(feed.Partition(index + 1)) {
+	if !s.ownedPartitions().Contains(partitionAt(index)) {
 		return false, ErrLostLease
 	}
 	command := state.WriteRunners{ExpectedRevision: revision, Writes: writes}
-	encoded, err := s.options.Replicas.Propose(ctx, feed.Partition(index+1), command.Encode())
+	encoded, err := s.options.Replicas.Propose(ctx, partitionAt(index), command.Encode())
 	if err != nil {
-		return false, fmt.Errorf("runnersync: propose to partition %d: %w", index+1, err)
+		return false, fmt.Errorf("runnersync: propose to partition %d: %w", partitionAt(index), err)
 	}
 	result, err := state.DecodeResult(encoded)
 	if err != nil {
--- a/internal/system/control/runnersync/syncer.go
+++ b/internal/system/control/runnersync/syncer.go
@@ -66,7 +66,7 @@
 type Syncer struct {
 	options Options
 
-	// By runner partition, from 0.
+	// By viewIndex.
 	views []partitionView
 	stale []bool // the local replica must catch up before the next comparison
 
--- a/internal/system/control/runnersync/view.go
+++ b/internal/system/control/runnersync/view.go
@@ -115,7 +115,7 @@
 		value := discovery.EncodeRunner(*runner)
 		if exists && stored.encodesTo(value) {
 			changed := *runner
-			changed.SlowStartRemaining++ // an equal value would not count as a change, and keep its age
+			changed.SlowStartRemaining++ // by a nanosecond: an equal value would not count as a change, and keep its age
 			value = discovery.EncodeRunner(changed)
 		}
 		writes = append(writes, state.Write{Key: key, Value: value})
--- a/internal/system/control/state/history.go
+++ b/internal/system/control/state/history.go
@@ -54,6 +54,9 @@
 }
 
 // judge returns RequestStatus.Verdict and RequestStatus.Version. The lock is held.
+//
+// Versions rise from 0, each by an accepted change, and the newest changes are retained: below the current version there
+// is thus at least one retained change, and the last one led to the current version.
 func (c *Configuration) judge(baseVersion uint64, digest Digest) (Verdict, uint64) {
 	switch {
 	case baseVersion == c.version:
