--- a/internal/shared/capacity/ejection.go
+++ b/internal/shared/capacity/ejection.go
@@ -25,7 +25,7 @@
 func (e *Ejection) RecordOutcome(failure, peerErrorRate float64) bool {
 	UpdateMean(&e.ErrorRate, failure, LearningRate)
 	e.Observed = true
-	if e.ErrorRate < EjectionErrorRate/2 {
+	if e.ErrorRate < EjectionErrorRate/2 { // it has recovered: the next ejection is a short one again
 		e.LastDuration = 0
 	}
 	return failure > 0 && e.ErrorRate > EjectionErrorRate && e.ErrorRate > PeerFactor*peerErrorRate
--- a/internal/system/agent/upstream/state.go
+++ b/internal/system/agent/upstream/state.go
@@ -9,7 +9,7 @@
 const (
 	Searching State = iota // polls the candidates in turn, without a wait
 	Following              // long-polls one replica that is up to date with at least one partition
-	CutOff                 // searches on; no reply was up to date with any partition for Options.CutOffAfter
+	CutOff                 // searches on; no reply was up to date with any partition for Options.CutOffAfter; by partition: Selector.CutOff
 )
 
 // String returns the name of the state, as logged.
--- a/internal/system/configuration/document.go
+++ b/internal/system/configuration/document.go
@@ -93,6 +93,7 @@
 	writer.ArrEnd()
 }
 
+// encodedSize returns about how many bytes Encode returns, so that it allocates once.
 func (d *Document) encodedSize() int {
 	size := 128 + len(d.rawLimits)
 	for _, item := range d.routes {
--- a/internal/system/discovery/client.go
+++ b/internal/system/discovery/client.go
@@ -165,8 +165,8 @@
 		deadline = earlier
 	}
 	reused := c.connection != nil
-	received, started, err := c.roundTrip(ctx, deadline, requestTarget(zone, token))
-	if err != nil && reused && !started && ctx.Err() == nil && time.Now().Before(deadline) {
+	received, final, err := c.roundTrip(ctx, deadline, requestTarget(zone, token))
+	if err != nil && reused && !final && ctx.Err() == nil && time.Now().Before(deadline) {
 		received, _, err = c.roundTrip(ctx, deadline, requestTarget(zone, token))
 	}
 	if err != nil {
@@ -195,9 +195,9 @@
 	return "/servers?" + query.Encode()
 }
 
-// roundTrip sends a request and reads its response. The second result says whether anything of the response arrived, so
-// that the request must not be repeated.
-func (c *Client) roundTrip(ctx context.Context, deadline time.Time, target string) (response, bool, error) {
+// roundTrip sends a request and reads its response. final says that the request must not be repeated: a part of the response
+// has arrived, or AllowCall has rejected the call.
+func (c *Client) roundTrip(ctx context.Context, deadline time.Time, target string) (received response, final bool, err error) {
 	if err := c.connect(ctx, deadline); err != nil {
 		return response{}, false, err
 	}
@@ -211,20 +211,22 @@
 		c.disconnect()
 		return response{}, false, err
 	}
+	// A deadline in the past ends a read or write in progress once ctx ends.
 	stop := context.AfterFunc(ctx, func() { _ = connection.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	c.calls++
-	received, started, err := c.exchange(target)
+	received, final, err = c.exchange(target)
 	if err != nil || received.closeConnection {
 		c.disconnect()
 	}
 	if err != nil && ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	return received, started, err
+	return received, final, err
 }
 
-// exchange does the work of roundTrip on the open connection.
+// exchange does the work of roundTrip on the open connection. The second result says whether a part of the response has
+// arrived.
 func (c *Client) exchange(target string) (response, bool, error) {
 	request := "GET " + target + " HTTP/1.1\r\nHost: " + c.options.Address.String() + "\r\n\r\n"
 	if _, err := c.connection.Write([]byte(request)); err != nil {
--- a/internal/system/gossip/memberlist.go
+++ b/internal/system/gossip/memberlist.go
@@ -22,7 +22,7 @@
 
 	ticksPerProbe  = 2                // each one wakes the process up
 	deadMemberTTL  = 10 * time.Minute // until a member that is dead or has left is removed
-	pauseThreshold = 2.0              // probe intervals that a tick is late if the process was paused
+	pauseThreshold = 2.0              // probe intervals that a tick is late after a pause; below membership's, so that it is logged
 	readBufferSize = 64 << 10         // bytes of datagrams that wait for a paused process
 	clockOffset    = 1.0              // seconds on the node's clock at the start, since 0 means never there
 	readErrorDelay = 50 * time.Millisecond
--- a/internal/system/placement/request.go
+++ b/internal/system/placement/request.go
@@ -9,7 +9,7 @@
 
 // Chunk is a part of a prompt, which an engine caches as one unit. Chunks are in order from the start of the prompt.
 type Chunk struct {
-	ID     uint64
+	ID     uint64 // equal for equal parts; chosen by the client
 	Tokens int
 }
 
@@ -19,7 +19,7 @@
 	Service         string // drawn by the caller from the route's shares
 	Model           string
 	Chunks          []Chunk
-	InputTokens     int
+	InputTokens     int           // of the whole prompt, which may exceed the chunks; 0: not known
 	MaxOutputTokens int           // 0: the request names no maximum
 	BodyBytes       int           // 0: not known
 	ArrivedAt       time.Duration // on the caller's clock, as is Deadline
--- a/internal/system/placement/runner.go
+++ b/internal/system/placement/runner.go
@@ -45,15 +45,15 @@
 	meanUsage           usage // mean of ownUsage over about usageWindow
 	ownAttempts         int
 	backlog             prefillBacklog
-	excessWait          float64 // how much longer than expected first events recently took, in seconds
-	saturatedUntil      time.Duration
+	excessWait          float64       // how much longer than expected first events recently took, in seconds
+	saturatedUntil      time.Duration // until then it ranks behind the others, since it rejected an attempt
 	slowStartGuardUntil time.Duration // until then it may be in slow start before the membership feed shows it
 
 	pending         attemptList // attempts without a first event
 	suspectUntil    time.Duration
 	suspectDuration time.Duration
-	suspect         bool // a connection or a response never came; see isAvoided
-	probe           *Attempt
+	suspect         bool     // a connection or a response never came; see isAvoided
+	probe           *Attempt // while it is suspect: the attempt that finds out whether it is back; nil: none is in flight
 
 	lastSentAt      time.Duration // of the last attempt
 	slowStartNextAt time.Duration // earliest next attempt while it is in slow start
@@ -163,7 +163,7 @@
 // regionStats are what is known of a region.
 type regionStats struct {
 	name    string
-	latency float64 // shortest time to a first event seen, in seconds; 0: none yet
+	latency float64 // shortest time to a first event ever seen, in seconds, which never rises again; 0: none yet
 }
 
 // regionIndex returns the index of a region among those known; a new one is added.
--- a/internal/system/placement/service.go
+++ b/internal/system/placement/service.go
@@ -25,7 +25,7 @@
 	retryBudget   retryBudget
 	prefillSpeed  float64 // prompt tokens a second of a runner that prefills nothing else; 0: not known yet
 	latencyTarget float64 // tightest target of its routes, in seconds; see observeTarget
-	meanDuration  float64 // of a response, in seconds
+	meanDuration  float64 // of a response, in seconds; 0: none came yet
 	meanUsage     usage   // mean over its runners of their meanUsage
 	prefixHistory prefixHistory
 	shedding      loadShedding
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -59,7 +59,8 @@
 	return x
 }
 
-// admit validates the head. A request that cannot be served is answered immediately.
+// admit validates the head, fills in what the placer is to know of the request, and starts its deadline. A request that
+// cannot be served is answered immediately.
 func (x *exchange) admit() {
 	route, rejection := x.findRoute()
 	if rejection != nil {
--- a/internal/system/proxy/runner_conn.go
+++ b/internal/system/proxy/runner_conn.go
@@ -66,11 +66,11 @@
 	advertisedIdle     time.Duration // idle timeout announced by the runner; 0: none
 	idleSince          time.Duration
 	dialedAt           time.Duration
-	timer              *eventloop.Timer
-	isProbe            bool          // opened to find out whether the runner's machine is reachable
-	dataSinceCheck     bool          // bytes have arrived since the last check of the watchdog
-	checkInterval      time.Duration // until the watchdog's next check
-	watchdog           *eventloop.Timer
+	timer              *eventloop.Timer // by state: connect timeout, idle timeout or discardTimeout; not running otherwise
+	isProbe            bool             // opened to find out whether the runner's machine is reachable
+	dataSinceCheck     bool             // bytes have arrived since the last check of the watchdog
+	checkInterval      time.Duration    // until the watchdog's next check
+	watchdog           *eventloop.Timer // of checkProgress, while an attempt is in progress
 }
 
 // connTransitions lists the valid successors of each state.
--- a/internal/system/proxy/session.go
+++ b/internal/system/proxy/session.go
@@ -27,7 +27,7 @@
 	nextRequestStarted   bool          // bytes of a request have arrived whose head was not read
 	nextRequestStartedAt time.Duration // when the first of them arrived: the client's time runs at least from then
 	lastDataAt           time.Duration
-	timer                *eventloop.Timer
+	timer                *eventloop.Timer // of the idle time, the head or the body: one at a time, see setTimeout
 
 	links intrusivelist.Links[session] // in the session list
 }
--- a/internal/system/proxy/watchdog.go
+++ b/internal/system/proxy/watchdog.go
@@ -50,7 +50,7 @@
 		}
 	case mayMove && c.runner.pool.proxy.now()-c.runner.lastDataAt >= c.checkInterval:
 		c.runner.probe()
-		next = max(next, 2*c.checkInterval)
+		next = max(next, 2*c.checkInterval) // a runner that is busy for long is probed ever more rarely
 	}
 	if mayMove && c.attempt == a {
 		c.startWatchdog(next)
