--- a/internal/system/control/process.go
+++ b/internal/system/control/process.go
@@ -54,13 +54,13 @@
 	stopping  atomic.Bool
 
 	configuration *state.Configuration // partition 0
-	runners       []*state.Runners     // partitions from 1
+	runners       []*state.Runners     // partitions from 1: that of partition i is at i-1
 	host          *replica.Host
 	gossip        *gossip.Memberlist
 	feedServer    *feedserver.Server
 	runnerSync    *runnersync.Syncer
 
-	servers    []*http.Server
+	servers    []*http.Server  // complete when Start returns
 	failures   chan error      // fatal errors
 	context    context.Context // of the goroutines
 	cancel     context.CancelFunc
--- a/internal/system/control/status.go
+++ b/internal/system/control/status.go
@@ -6,6 +6,7 @@
 
 	"cinderroad/internal/system/consensus"
 	"cinderroad/internal/system/control/status"
+	"cinderroad/internal/system/feed"
 	"cinderroad/internal/system/gossip"
 	"cinderroad/internal/system/replica"
 )
@@ -81,7 +82,7 @@
 		CommitIndex:  group.Commit,
 		AppliedIndex: group.Applied,
 		LastIndex:    group.LastIndex,
-		ItemCount:    p.itemCount(int(partition.Partition)),
+		ItemCount:    p.itemCount(partition.Partition),
 		StalenessMS:  p.host.Staleness(partition.Partition).Milliseconds(),
 		Replicas:     make([]status.Replica, 0, len(group.Membership.Members)),
 	}
@@ -101,8 +102,8 @@
 }
 
 // itemCount returns the number of items that the local replica of a partition holds.
-func (p *Process) itemCount(partition int) int {
-	if partition == 0 {
+func (p *Process) itemCount(partition feed.Partition) int {
+	if partition == feed.ConfigurationPartition {
 		return p.configuration.Len()
 	}
 	return p.runners[partition-1].Len()
--- a/internal/system/control/status/status.go
+++ b/internal/system/control/status/status.go
@@ -35,7 +35,7 @@
 	AppliedIndex uint64    `json:"applied"`
 	LastIndex    uint64    `json:"last"` // of the log
 	ItemCount    int       `json:"items"`
-	StalenessMS  int64     `json:"fresh_ms"`           // since the last contact with a leader that a majority follows
+	StalenessMS  int64     `json:"fresh_ms"`           // see replica.Replicas.Staleness; the largest duration: it never was
 	LeaseMS      int64     `json:"lease_ms,omitempty"` // remaining lease of a leader
 	Replicas     []Replica `json:"replicas"`           // of the group
 }
--- a/internal/system/control/stop.go
+++ b/internal/system/control/stop.go
@@ -55,7 +55,8 @@
 }
 
 // stop announces the shutdown, serves on for a while, drains calls and hands leadership and votes over, all within
-// plan.total, even if the disk hangs.
+// plan.total, even if the disk hangs. The RPC server, which p.cancel ends, serves until the host has stopped: the other
+// replicas have to reach this one while it hands over.
 func (p *Process) stop(plan stopPlan) {
 	ctx, cancel := context.WithTimeout(context.Background(), plan.total)
 	defer cancel()
--- a/internal/system/feed/pack.go
+++ b/internal/system/feed/pack.go
@@ -20,7 +20,8 @@
 	PackThresholdBytes = 2 << 10
 	// MaxUnpackedBytes is the greatest unpacked size that Unpack accepts.
 	MaxUnpackedBytes = 32 << 20
-	// packedDeleted and packedValue are the kinds of packed items.
+	// packedDeleted and packedValue are the kinds of packed items. They are the other way round than kindDeleted and
+	// kindValue of an encoded table; both are fixed by what is sent and stored.
 	packedDeleted = 0
 	packedValue   = 1
 	// minPackedItemBytes is the size of the shortest item of a packed batch.
@@ -198,7 +199,7 @@
 func (r *packedReader) readItem(packedAge time.Duration) Item {
 	item := Item{Key: string(r.readBytes()), Index: r.readUvarint()}
 	packedItemAge := r.readUvarint()
-	if packedItemAge > math.MaxInt64/2 {
+	if packedItemAge > math.MaxInt64/2 { // so that the sum with packedAge does not overflow
 		r.fail(errMalformedItems)
 	}
 	item.Age = time.Duration(packedItemAge) + max(packedAge, 0)
--- a/internal/system/feed/table_codec.go
+++ b/internal/system/feed/table_codec.go
@@ -16,7 +16,7 @@
 
 // Kinds of items of an encoded table.
 const (
-	kindValue   = 0
+	kindValue   = 0 // see packedValue for the other way round
 	kindDeleted = 1
 )
 
--- a/internal/system/replica/group.go
+++ b/internal/system/replica/group.go
@@ -21,16 +21,16 @@
 	snapshotPending       bool
 	pendingJobs           int                                   // in the disk writer
 	promotionRetryAt      map[consensus.ReplicaID]time.Duration // by learner that was too far behind to vote
-	commitIndex           uint64
-	lastHardState         consensus.HardState  // given to the disk writer last
-	proposals             map[uint64]*proposal // by index, linked if there are several
-	pendingReads          map[uint64]chan consensus.ReadState
+	commitIndex           uint64                                // known to be committed; written along with the next entries
+	lastHardState         consensus.HardState                   // given to the disk writer last
+	proposals             map[uint64]*proposal                  // by index, linked if there are several
+	pendingReads          map[uint64]chan consensus.ReadState   // by token of Node.ReadIndex
 	lastReadToken         uint64
 	appliedWaiters        []appliedWaiter
-	leader                consensus.ReplicaID
-	isLeader              bool          // and not transferring leadership
-	leadershipSince       time.Duration // when isLeader last changed, on the host's clock
-	leaderChanged         chan struct{} // closed when the leader changes
+	leader                consensus.ReplicaID // as updateLeader last saw it; 0: unknown
+	isLeader              bool                // and not transferring leadership
+	leadershipSince       time.Duration       // when isLeader last changed, on the host's clock
+	leaderChanged         chan struct{}       // closed when the leader changes
 	contacts              contacts
 }
 
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -56,7 +56,8 @@
 	address netip.AddrPort // of this machine's control RPC
 	started time.Time      // the origin of the clock, see now
 
-	// mutex guards what follows up to stopping, and all groups. The list of groups itself is fixed by New.
+	// mutex guards what follows up to stopping, and all groups. The list of groups itself is fixed by New. The locks of a
+	// peer, of the disk writer and of a state machine are taken while it is held, never the other way round.
 	mutex               sync.Mutex
 	self                consensus.Member // its ID is 0 until the groups are started, and fixed from then on
 	groups              []*group
--- a/internal/system/replica/peers.go
+++ b/internal/system/replica/peers.go
@@ -23,8 +23,8 @@
 const (
 	bulkTimeout          = time.Minute // for a large request to arrive and be handled
 	maxPendingBytes      = 4 << 20     // of messages queued for a peer; more are dropped
-	maxLearnedAddresses  = 64
-	maxReusedBufferBytes = 64 << 10 // larger send buffers are not reused
+	maxLearnedAddresses  = 64          // once there are more, all are forgotten: replies to joins bring them back
+	maxReusedBufferBytes = 64 << 10    // larger send buffers are not reused
 )
 
 // peerSet is the other control machines, by the address of their control RPC. The host's mutex guards its maps.
--- a/internal/system/replica/propose.go
+++ b/internal/system/replica/propose.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"math"
 	"time"
 
 	"cinderroad/internal/system/consensus"
@@ -13,11 +12,10 @@
 
 // Timeouts of proposals and reads that are forwarded to the leader.
 const (
-	retryDelay       = 100 * time.Millisecond       // before a retry, unless the leader changes earlier
-	proposeTimeout   = 5 * time.Second              // for a remote leader, unless the context ends earlier
-	readIndexTimeout = time.Second                  // for one attempt of Barrier
-	neverCurrent     = time.Duration(math.MaxInt64) // Staleness before the first contact to a leader
-	minCallTimeout   = 2 * handlerMargin            // with less time left, no remote call is made
+	retryDelay       = 100 * time.Millisecond // before a retry, unless the leader changes earlier
+	proposeTimeout   = 5 * time.Second        // for a remote leader, unless the context ends earlier
+	readIndexTimeout = time.Second            // for one attempt of Barrier
+	minCallTimeout   = 2 * handlerMargin      // with less time left, no remote call is made
 )
 
 // Propose implements Replicas. It proposes on the leader, wherever that is, and retries while nothing was proposed.
--- a/internal/system/replica/replica.go
+++ b/internal/system/replica/replica.go
@@ -33,7 +33,7 @@
 	// majority; false if it is not.
 	LeaderLease(partition feed.Partition) (time.Duration, bool)
 	// Staleness returns how long ago this replica last had applied everything that a leader with a majority had committed;
-	// the largest duration if it never had, or if there is no such partition.
+	// feed.AgeNever, the largest duration, if it never had, or if there is no such partition.
 	Staleness(partition feed.Partition) time.Duration
 	// InContact reports whether this machine has recently received messages from a leader of the partition or from a
 	// majority of its voters. If not, it is partitioned or too many machines are down: no proposal or barrier will
--- a/internal/system/replica/status.go
+++ b/internal/system/replica/status.go
@@ -30,6 +30,9 @@
 	return elapsedSince(g.node.Status().CaughtUpAt, h.now())
 }
 
+// neverCurrent is the Staleness before the first contact to a leader. The feed passes it on as the age of a partition.
+const neverCurrent = feed.AgeNever
+
 // elapsedSince returns the time since an event, neverCurrent if since is 0 because there was none.
 func elapsedSince(since, now time.Duration) time.Duration {
 	if since == 0 {
