--- a/internal/system/consensus/election.go
+++ b/internal/system/consensus/election.go
@@ -41,7 +41,8 @@
 }
 
 // setCampaignDeadline sets when an election that has just started is given up and the next one starts. After several
-// failures in a row that is a whole election timeout.
+// failures in a row that is a whole election timeout. It counts the election as failed; winning it, or a message of a
+// leader, resets the count.
 func (n *Node) setCampaignDeadline(shortest, longest time.Duration) {
 	n.failedElections++
 	if n.failedElections > maxQuickElections {
--- a/internal/system/consensus/leader.go
+++ b/internal/system/consensus/leader.go
@@ -70,7 +70,8 @@
 	return known && term == n.term
 }
 
-// tickLeader resigns without a quorum, ends a transfer that timed out and schedules heartbeats.
+// tickLeader resigns without a quorum, ends a transfer that timed out and schedules heartbeats. A peer to which an append
+// that demands a reply was sent within half an interval needs none.
 func (n *Node) tickLeader() {
 	if n.now >= n.quorumDeadline() {
 		n.becomeFollower(n.term, 0)
@@ -180,7 +181,9 @@
 	}
 }
 
-// handleAppendRejection continues from an index at which the peer's log may agree with this one.
+// handleAppendRejection continues from an index at which the peer's log may agree with this one: the last one, up to the
+// peer's hint, whose term is not above that of the peer's entry there. A hint before the start of this log is taken as it
+// is, so that sendEntries finds the entry missing and sends a snapshot.
 func (n *Node) handleAppendRejection(peer *progress, msg Message) {
 	if peer.state == stateSnapshot || msg.Index <= peer.match || peer.state == stateProbe && msg.Index != peer.next-1 {
 		return // stale
--- a/internal/system/control/directory/choose.go
+++ b/internal/system/control/directory/choose.go
@@ -41,17 +41,20 @@
 	minZoneEdges = 2
 )
 
-// The tiers of proxies, best first. Clients are given only proxies of the best tier that any has.
+// tier groups proxies by how likely they are to serve. Clients are given only proxies of the best tier that any has.
+type tier uint8
+
+// The tiers, best first.
 const (
-	tierServing  = iota // alive, ready and not stopping
-	tierSuspect         // ready and not stopping, but suspect
-	tierNotReady        // alive or suspect, but not ready or stopping
+	tierServing  tier = iota // alive, ready and not stopping
+	tierSuspect              // ready and not stopping, but suspect
+	tierNotReady             // alive or suspect, but not ready or stopping
 	tierDead
 	tierCount
 )
 
 // tier returns the tier of the edge's proxy.
-func (e *Edge) tier() int {
+func (e *Edge) tier() tier {
 	switch {
 	case e.Health == Dead:
 		return tierDead
@@ -88,8 +91,8 @@
 		if !edges[i].Address.IsValid() {
 			continue
 		}
-		tier := edges[i].tier()
-		byTier[tier] = append(byTier[tier], &edges[i])
+		of := edges[i].tier()
+		byTier[of] = append(byTier[of], &edges[i])
 	}
 	for _, best := range byTier {
 		if len(best) > 0 {
