--- a/internal/system/control/metrics.go
+++ b/internal/system/control/metrics.go
@@ -40,7 +40,7 @@
 		page.Sample(exposition.BoolValue(leads), label(i))
 	}
 	page.Family(exposition.Gauge, "cinderroad_control_fresh_seconds",
-		"Time since the last confirmed contact with a leader that has a majority, by partition.")
+		"Time since this replica last had applied all that a leader with a majority had committed, by partition.")
 	for i := range partitions {
 		page.Sample(p.host.Staleness(partitions[i].Partition).Seconds(), label(i))
 	}
