--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -47,13 +47,13 @@
 	metrics       netip.AddrPort
 	stoppingSince atomic.Int64 // time of the signal to stop, by now; 0: none came
 
-	store          *store
-	peerNotifier   *peerNotifier
-	proxyMonitor   *proxyMonitor
-	platformPoller *platformPoller
-	follower       *follower
-	member         atomic.Pointer[gossip.Memberlist] // nil until the agent has joined
-	seeds          atomic.Pointer[[]netip.AddrPort]  // gossip addresses of the seeds; never nil
+	store            *store
+	peerListNotifier *peerListNotifier
+	proxyMonitor     *proxyMonitor
+	platformPoller   *platformPoller
+	follower         *follower
+	member           atomic.Pointer[gossip.Memberlist] // nil until the agent has joined
+	seeds            atomic.Pointer[[]netip.AddrPort]  // gossip addresses of the seeds; never nil
 
 	proxyListener *countingListener // for the proxy
 	peerListener  net.Listener      // for other agents
@@ -74,7 +74,7 @@
 	}
 	a.Reload(options.Settings)
 	a.store = newStore(a.now, feed.RunnerPartitionCount)
-	a.peerNotifier = newPeerNotifier(a.now, a.otherProxies)
+	a.peerListNotifier = newPeerListNotifier(a.now, a.otherProxies)
 	a.proxyMonitor = newProxyMonitor(a.log, a.now)
 	options.upstream.Partitions = 1 + feed.RunnerPartitionCount
 	client := discovery.NewClient(discovery.ClientOptions{Address: a.settings.CloudAPI.Address})
--- a/internal/system/agent/fallback/poller.go
+++ b/internal/system/agent/fallback/poller.go
@@ -18,9 +18,9 @@
 
 // The states of a Poller.
 const (
-	Idle    State = iota // the feed is up to date: the platform is not polled
-	Asking               // cut off from at least one partition: the platform is polled
-	Holding              // the feed is up to date again; the list is used for HoldTime
+	Idle      State = iota // the feed is up to date: the platform is not polled
+	Polling                // cut off from at least one partition: the platform is polled
+	Retaining              // the feed is up to date again; the list is used for HoldTime
 )
 
 // String returns the name of the state, as logged.
@@ -28,9 +28,9 @@
 	switch s {
 	case Idle:
 		return "idle"
-	case Asking:
+	case Polling:
 		return "asking"
-	case Holding:
+	case Retaining:
 		return "holding"
 	}
 	return "unknown"
@@ -60,7 +60,7 @@
 	state   State
 	random  func() float64 // in [0, 1)
 	pages   int            // number of calls that the last list took
-	nextAt  time.Duration  // time of the next poll, while Asking
+	nextAt  time.Duration  // time of the next poll, while Polling
 	backoff time.Duration  // delay after the last failure; 0: the last poll succeeded
 
 	cutOff feed.PartitionSet                // partitions for which the platform is polled
@@ -129,9 +129,9 @@
 	case !cutOff.IsEmpty() && p.state == Idle:
 		p.startAsking(now, pace)
 	case !cutOff.IsEmpty():
-		p.state = Asking // the polls continue if the agent was in touch for less than HoldTime
+		p.state = Polling // the polls continue if the agent was in touch for less than HoldTime
 	case len(p.dropAt) > 0:
-		p.state = Holding
+		p.state = Retaining
 	default:
 		p.state = Idle
 	}
@@ -141,14 +141,14 @@
 // startAsking schedules the first poll at a random time within an interval, so that agents cut off together do not poll
 // together.
 func (p *Poller) startAsking(now time.Duration, pace Pace) {
-	p.state = Asking
+	p.state = Polling
 	p.backoff = 0
 	p.nextAt = now + time.Duration(p.random()*float64(p.interval(pace)))
 }
 
 // Next returns the time until the next poll is due. asking is false if none is.
 func (p *Poller) Next(now time.Duration) (wait time.Duration, asking bool) {
-	if p.state != Asking {
+	if p.state != Polling {
 		return 0, false
 	}
 	return max(0, p.nextAt-now), true
--- a/internal/system/agent/fallback/poller_test.go
+++ b/internal/system/agent/fallback/poller_test.go
@@ -34,14 +34,14 @@
 func TestListIsRetainedAfterFeedRecovers(t *testing.T) {
 	poller := New(half)
 	poller.Update(0, firstPartition, Pace{})
-	if !poller.Update(time.Second, 0, Pace{}).IsEmpty() || poller.State() != Holding {
+	if !poller.Update(time.Second, 0, Pace{}).IsEmpty() || poller.State() != Retaining {
 		t.Fatal("the list is dropped at once")
 	}
 	if _, asking := poller.Next(time.Second); asking {
 		t.Error("it asks although the feed is up to date")
 	}
 	poller.Update(2*time.Second, firstPartition, Pace{})
-	if poller.State() != Asking {
+	if poller.State() != Polling {
 		t.Error("it does not ask in a second cut")
 	}
 	poller.Update(3*time.Second, 0, Pace{})
@@ -61,17 +61,17 @@
 	poller := New(half)
 	both, two := feed.NewPartitionSet(1, 2), feed.NewPartitionSet(2)
 	poller.Update(0, both, Pace{})
-	if poller.CutOff() != both || poller.State() != Asking {
+	if poller.CutOff() != both || poller.State() != Polling {
 		t.Fatalf("%v, for the partitions %v", poller.State(), poller.CutOff())
 	}
 	poller.Update(time.Second, two, Pace{})
-	if poller.CutOff() != two || poller.State() != Asking {
+	if poller.CutOff() != two || poller.State() != Polling {
 		t.Fatalf("%v, for the partitions %v", poller.State(), poller.CutOff())
 	}
 	if drop := poller.Update(time.Second+HoldTime-1, two, Pace{}); !drop.IsEmpty() {
 		t.Errorf("the list is dropped early for %v", drop)
 	}
-	if drop := poller.Update(time.Second+HoldTime, two, Pace{}); drop != firstPartition || poller.State() != Asking {
+	if drop := poller.Update(time.Second+HoldTime, two, Pace{}); drop != firstPartition || poller.State() != Polling {
 		t.Errorf("the list is dropped for %v, %v", drop, poller.State())
 	}
 	poller.Update(5*time.Second, 0, Pace{})
--- a/internal/system/agent/membership.go
+++ b/internal/system/agent/membership.go
@@ -34,7 +34,7 @@
 		return
 	}
 	a.member.Store(member)
-	a.peerNotifier.wakeIfChanged()
+	a.peerListNotifier.wakeIfChanged()
 	a.proxyMonitor.startAnnouncing(member)
 	member.SetSeeds(*a.seeds.Load())
 }
@@ -45,7 +45,7 @@
 	options.Version = a.version
 	options.Log = a.log
 	options.Seeds = *a.seeds.Load()
-	options.OnChange = a.peerNotifier.wakeIfChanged
+	options.OnChange = a.peerListNotifier.wakeIfChanged
 	end := time.Now().Add(retry.AddressInUseTimeout)
 	for {
 		member, err := gossip.Start(options)
--- a/internal/system/agent/peernotifier.go
+++ b/internal/system/agent/peerlistnotifier.go
@@ -14,35 +14,35 @@
 	"cinderroad/internal/system/gossip"
 )
 
-// peerNotifier ends the proxy's long poll as soon as the other proxies differ from those that the proxy last reported.
+// peerListNotifier ends the proxy's long poll as soon as the other proxies differ from those that the proxy last reported.
 // Shares of common budgets depend on them, and the proxies send their load to each other.
-type peerNotifier struct {
+type peerListNotifier struct {
 	peers      func() []feed.Peer // in a fixed order; nil: not known
 	sentDigest atomic.Uint64      // digest of the proxy's list, by its last request
 	notifier   *feedserver.Notifier
 }
 
-func newPeerNotifier(now func() time.Duration, peers func() []feed.Peer) *peerNotifier {
+func newPeerListNotifier(now func() time.Duration, peers func() []feed.Peer) *peerListNotifier {
 	after := func(wait time.Duration, wake func()) { time.AfterFunc(wait, wake) }
-	return &peerNotifier{peers: peers, notifier: feedserver.NewNotifier(now, after)}
+	return &peerListNotifier{peers: peers, notifier: feedserver.NewNotifier(now, after)}
 }
 
 // wakeIfChanged ends the open calls if the proxy has an outdated list.
-func (n *peerNotifier) wakeIfChanged() {
+func (n *peerListNotifier) wakeIfChanged() {
 	if n.outdated() {
 		n.notifier.Notify()
 	}
 }
 
 // outdated reports whether the proxy's list differs from the current one.
-func (n *peerNotifier) outdated() bool {
+func (n *peerListNotifier) outdated() bool {
 	digest := peersDigest(n.peers())
 	return digest != 0 && digest != n.sentDigest.Load()
 }
 
 // handleFollow serves a request of the proxy by next, and adds the list of the other proxies if the request has another
 // one. The call returns early when the list changes.
-func (n *peerNotifier) handleFollow(ctx context.Context, request *feed.FollowRequest,
+func (n *peerListNotifier) handleFollow(ctx context.Context, request *feed.FollowRequest,
 	next func(context.Context, *feed.FollowRequest) (*feed.FollowReply, error)) (*feed.FollowReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watcher sync.WaitGroup
--- a/internal/system/agent/serve.go
+++ b/internal/system/agent/serve.go
@@ -23,7 +23,7 @@
 	proxyServer := a.newFeedServer(a.store.servedSources(), a.store.servedNotifier, 0)
 	feedserver.FollowMethod.Handle(proxyRegistry, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
 		a.store.setProxyPositions(request.Positions)
-		return a.peerNotifier.handleFollow(ctx, request, proxyServer.Follow)
+		return a.peerListNotifier.handleFollow(ctx, request, proxyServer.Follow)
 	})
 	reportMethod.Handle(proxyRegistry, a.proxyMonitor.handleReport)
 	a.serveRegistry(ctx, a.proxyListener, proxyRegistry, rpc.ServerLimits{
--- a/internal/system/control/directory/handler.go
+++ b/internal/system/control/directory/handler.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/jx"
 )
 
-// Path is the URL path of look-ups.
+// Path is the URL path of lookups.
 const Path = "/-/lookup"
 
 const (
@@ -25,7 +25,7 @@
 // retryAfterSeconds is the value of the header Retry-After of a reply without addresses.
 const retryAfterSeconds = "1"
 
-// Handler serves look-ups. Its fields must not change while it serves.
+// Handler serves lookups. Its fields must not change while it serves.
 type Handler struct {
 	Source EdgeSource
 	MaxTTL time.Duration // limit of the TTL by the deployment's settings; 0: none
--- a/internal/system/control/directory/handler_test.go
+++ b/internal/system/control/directory/handler_test.go
@@ -14,7 +14,7 @@
 
 func (m fixedEdges) Edges() []Edge { return m }
 
-// TestServeHTTP checks the replies to look-ups, the limit of the TTL, and the replies to errors.
+// TestServeHTTP checks the replies to lookups, the limit of the TTL, and the replies to errors.
 func TestServeHTTP(t *testing.T) {
 	get := func(handler *Handler, method string) *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
--- a/internal/system/placement/request.go
+++ b/internal/system/placement/request.go
@@ -24,7 +24,7 @@
 	BodyBytes       int           // 0: not known
 	ArrivedAt       time.Duration // on the caller's clock, as is Deadline
 	Deadline        time.Duration // the earlier of the client's and the route's
-	TriedRunners    []string      // ids of the runners that attempts were sent to
+	TriedRunners    []string      // ids of the runners that had an attempt, or could not be connected to
 	MayHaveRun      bool          // an attempt reached a runner that did not prove that it had not run
 
 	connectFailures int // attempts without a connection: they cost no retry budget
--- a/internal/system/placement/service_test.go
+++ b/internal/system/placement/service_test.go
@@ -7,7 +7,7 @@
 	"cinderroad/internal/system/configuration"
 )
 
-// The utilization of a service's runners follows the latency targets of its own routes: a look-up service with a target of
+// The utilization of a service's runners follows the latency targets of its own routes: a lookup service with a target of
 // 200 ms must not make an engine with a target of 800 ms look full.
 func TestLatencyTargetsOfServicesAreIndependent(t *testing.T) {
 	utilization := func(others ...*configuration.Route) float64 {
--- a/internal/system/policysim/scenarios.go
+++ b/internal/system/policysim/scenarios.go
@@ -11,7 +11,7 @@
 func milliseconds(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
 // Screening returns a deployment of three zones in two regions with ten engines. Its traffic has long prompts with
-// shared prefixes, short explanations and long responses that are bound to one region, beside look-ups without an
+// shared prefixes, short explanations and long responses that are bound to one region, beside lookups without an
 // engine.
 func Screening() *Scenario {
 	wave := func(phase float64) RateVariation {
@@ -176,7 +176,7 @@
 	}
 }
 
-// lookupClass returns the class of look-ups without an engine; workMS is the mean of their work in milliseconds.
+// lookupClass returns the class of lookups without an engine; workMS is the mean of their work in milliseconds.
 func lookupClass(rate, workMS float64, target, deadline time.Duration) Class {
 	return Class{
 		Name:              "lookup",
--- a/internal/system/proxy/agentclient/client.go
+++ b/internal/system/proxy/agentclient/client.go
@@ -21,10 +21,11 @@
 	maxReplyBytes   = 32 << 20
 )
 
-// The agent's methods, by the names that it registers them under.
+// The agent's methods, by the names that it registers them under. They are declared anew so that the proxy does not link
+// the packages of their handlers.
 var (
-	followCall = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
-	reportCall = rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report")
+	followMethod = rpc.Declare[feed.FollowRequest, feed.FollowReply]("Feed.Follow")
+	reportMethod = rpc.Declare[feed.ProxyReport, feed.ProxyReportReply]("Proxy.Report")
 )
 
 // Options configure a Client.
@@ -91,7 +92,7 @@
 			Wait:      maxFollowWait,
 			Peers:     state.peersDigest,
 		}
-		reply, err := followCall.LongPoll(ctx, c.client, maxFollowWait, request)
+		reply, err := followMethod.LongPoll(ctx, c.client, maxFollowWait, request)
 		if err != nil {
 			c.log.Debug("feed request to agent failed", zap.Error(err))
 			retry.Sleep(ctx, pause)
@@ -136,7 +137,7 @@
 	c.mutex.Lock()
 	report := feed.ProxyReport{Front: c.report.Front, Stopping: c.report.Stopping}
 	c.mutex.Unlock()
-	reply, err := reportCall.Invoke(ctx, c.client, &report)
+	reply, err := reportMethod.Invoke(ctx, c.client, &report)
 	if err != nil {
 		return false
 	}
@@ -153,7 +154,7 @@
 	report.Learnt = c.pendingSnapshot
 	c.pendingSnapshot = nil
 	c.mutex.Unlock()
-	if _, err := reportCall.Invoke(ctx, c.client, &report); err != nil {
+	if _, err := reportMethod.Invoke(ctx, c.client, &report); err != nil {
 		c.log.Debug("status report to agent failed", zap.Error(err))
 		c.requeueSnapshot(report.Learnt)
 	}
--- a/internal/system/proxy/agentclient/client_test.go
+++ b/internal/system/proxy/agentclient/client_test.go
@@ -51,7 +51,7 @@
 		a.t.Fatal(err)
 	}
 	registry := rpc.NewRegistry()
-	followCall.Handle(registry, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
+	followMethod.Handle(registry, func(ctx context.Context, request *feed.FollowRequest) (*feed.FollowReply, error) {
 		a.requests <- request
 		select {
 		case reply := <-a.replies:
@@ -60,7 +60,7 @@
 			return nil, ctx.Err()
 		}
 	})
-	reportCall.Handle(registry, func(_ context.Context, report *feed.ProxyReport) (*feed.ProxyReportReply, error) {
+	reportMethod.Handle(registry, func(_ context.Context, report *feed.ProxyReport) (*feed.ProxyReportReply, error) {
 		a.reports <- report
 		return &feed.ProxyReportReply{Learnt: a.snapshot}, nil
 	})
--- a/internal/system/proxy/agentclient/compatibility_test.go
+++ b/internal/system/proxy/agentclient/compatibility_test.go
@@ -65,8 +65,8 @@
 
 // TestReadFeedItems checks how each key of the feed is decoded. Package compatibility records calls and values.
 func TestReadFeedItems(t *testing.T) {
-	if followCall.Name() != "Feed.Follow" || reportCall.Name() != "Proxy.Report" {
-		t.Errorf("the calls are named %s and %s", followCall.Name(), reportCall.Name())
+	if followMethod.Name() != "Feed.Follow" || reportMethod.Name() != "Proxy.Report" {
+		t.Errorf("the calls are named %s and %s", followMethod.Name(), reportMethod.Name())
 	}
 	runner := discovery.Runner{
 		ID:       "r-1",
--- a/internal/system/proxy/exchange_placement.go
+++ b/internal/system/proxy/exchange_placement.go
@@ -65,8 +65,9 @@
 	x.proxy.pool.send(a)
 }
 
-// mayRetry reports whether the request may be sent to another runner. The placer decides on the retry budget; whether a
-// second execution is allowed is decided here, whatever the placer checks besides.
+// mayRetry reports whether the request may be sent to another runner: whether a second execution is allowed, the route's
+// number of attempts and the deadline are checked here, the retry budget by the placer. The placer checks the others as
+// well, and counts attempts without a connection among the route's attempts, which are not counted here.
 func (x *exchange) mayRetry() bool {
 	if x.request.MayHaveRun && !x.request.Route.IsIdempotent() {
 		return false
--- a/internal/system/replica/bootstrap.go
+++ b/internal/system/replica/bootstrap.go
@@ -15,7 +15,7 @@
 
 // founderID returns the replica ID of a machine that founds the system. It follows from the address, so that all
 // founders know it of each other. A replica that does not found has a random ID, so that a founder that loses its
-// disk never comes back under its old ID.
+// disk never comes back under its old ID, unless its settings wrongly say that the system starts for the first time.
 func founderID(address netip.Addr) consensus.ReplicaID {
 	id := xxhash.Sum64String(founderIDPrefix + address.String())
 	return consensus.ReplicaID(max(id, 1))
--- a/internal/system/replica/doc.go
+++ b/internal/system/replica/doc.go
@@ -16,7 +16,7 @@
 // The leader of each group also maintains its membership: it adds replicas that ask to join as learners, moves votes to
 // the members that make the group most fault tolerant, and removes those that are absent for long. planChange decides on that alone,
 // without I/O. Machines of the seed list found the groups at their first boot; every other replica joins, with a random
-// ID, so that a replica that lost its disk never votes with forgotten promises.
+// ID, so that a replica that lost its disk never votes twice in a term whose vote it has forgotten.
 //
 // Callers must serve the handlers that Register adds until Stop returns, and must not call the host from OnApplied.
 package replica
