--- a/internal/dispatcher/exporter/collectd_network.go
+++ b/internal/dispatcher/exporter/collectd_network.go
@@ -112,7 +112,7 @@
 	o.schedule(0, o.sendMore)
 }
 
-// sendMore sends some points per turn.
+// sendMore sends some points in each iteration of the event loop.
 func (o *CollectdNetwork) sendMore() {
 	if o.period == nil {
 		return
@@ -136,7 +136,7 @@
 	if err := o.sendUnsent(); err != nil {
 		return false, err
 	}
-	for range pointsPerTurn {
+	for range pointsPerIteration {
 		if !o.pending {
 			o.series, o.value, o.pending = o.reader.Next()
 			if !o.pending {
--- a/internal/dispatcher/exporter/exporter.go
+++ b/internal/dispatcher/exporter/exporter.go
@@ -18,11 +18,12 @@
 )
 
 const (
-	minInterval   = 0.1   // seconds
-	maxDiskWait   = 2.0   // seconds that a period waits for the spool before it is delivered anyway
-	valuesPerTurn = 15000 // encoded in one turn
-	nodesPerTurn  = 500   // whose gauges are gathered in one turn
-	pointsPerTurn = 300   // rendered in one turn, about 0.2 ms
+	minInterval = 0.1 // seconds
+	maxDiskWait = 2.0 // seconds that a period waits for the spool before it is delivered anyway
+	// Work is split over iterations of the event loop.
+	valuesPerIteration = 15000 // encoded in one
+	nodesPerIteration  = 500   // whose gauges are gathered in one
+	pointsPerIteration = 300   // rendered in one, about 0.2 ms
 
 	// clockTolerance is the share of an interval by which a timer may fire before the end of the period.
 	clockTolerance = 1e-6
@@ -38,15 +39,15 @@
 
 // Exporter closes periods and has its outputs deliver them. It belongs to the goroutine of its event loop.
 type Exporter struct {
-	ClosedPeriods uint64
+	ClosedPeriods uint64 // frozen ones included
 
 	loop          *eventloop.Loop
 	log           *zap.Logger
 	set           *telemetry.Set
 	ring          *telemetry.Ring
 	options       Options
-	spool         *spool.Spool
-	acknowledged  map[string]int64
+	spool         *spool.Spool           // nil: periods are not stored
+	acknowledged  map[string]int64       // by output name: timestamp of the last period that it has
 	retiredStats  map[string]OutputStats // of removed outputs, by kind
 	outputs       []Output
 	lastTimestamp int64  // of the last period, in Unix milliseconds
@@ -111,7 +112,7 @@
 // Ring returns the buffer of undelivered periods.
 func (e *Exporter) Ring() *telemetry.Ring { return e.ring }
 
-// Restore continues from what earlier incarnations left in the spool. It must be called after the outputs are added.
+// Restore continues from what earlier processes left in the spool. It must be called after the outputs are added.
 func (e *Exporter) Restore(found *spool.Recovered) {
 	e.set.AddTotals(found.Totals)
 	e.set.RestoreSlots(found.SlotAssignments)
@@ -139,7 +140,7 @@
 	}
 }
 
-// Stop ends that. The open period stays open and buffered periods stay buffered.
+// Stop stops closing and delivering periods until the next Start. The open period stays open and buffered periods stay buffered.
 func (e *Exporter) Stop() {
 	e.running = false
 	if e.encoding {
@@ -174,10 +175,10 @@
 	})
 }
 
-// ClosePeriod closes the open period over the next turns of the event loop; with thousands of nodes a single turn
+// ClosePeriod closes the open period over the next iterations of the event loop; with thousands of nodes a single one
 // would take too long.
 func (e *Exporter) ClosePeriod() {
-	if e.set.GatherNodeGauges(nodesPerTurn) {
+	if e.set.GatherNodeGauges(nodesPerIteration) {
 		e.loop.At(e.loop.Now(), e.ClosePeriod)
 		return
 	}
@@ -189,19 +190,19 @@
 	})
 }
 
-// encode encodes a slice of the period in each turn.
+// encode encodes a part of the frozen period in each iteration of the event loop.
 func (e *Exporter) encode() {
 	if !e.encoding {
 		return // ClosePeriodNow has done so
 	}
-	if p := e.set.EncodePeriod(valuesPerTurn); p != nil {
+	if p := e.set.EncodePeriod(valuesPerIteration); p != nil {
 		e.addPeriod(p)
 		return
 	}
 	e.loop.At(e.loop.Now(), e.encode)
 }
 
-// ClosePeriodNow closes the open period within this turn.
+// ClosePeriodNow closes the open period within this iteration of the event loop.
 func (e *Exporter) ClosePeriodNow() {
 	e.freeze()
 	e.addPeriod(e.set.EncodePeriod(math.MaxInt32))
@@ -233,7 +234,7 @@
 		e.deliverUpTo(number)
 		return
 	}
-	// A total that a receiver has must not decrease when the next incarnation continues from an older one: the spool
+	// A total that a receiver has must not decrease when the next process continues from an older one: the spool
 	// has it first.
 	e.spool.AppendPeriod(p, e.set.SlotAssignments(), func() {
 		e.loop.Post(func() { e.deliverUpTo(number) })
--- a/internal/dispatcher/exporter/exporter_test.go
+++ b/internal/dispatcher/exporter/exporter_test.go
@@ -563,7 +563,7 @@
 
 func benchmarkGather(b *testing.B, set *telemetry.Set) {
 	for b.Loop() {
-		if !set.GatherNodeGauges(nodesPerTurn) {
+		if !set.GatherNodeGauges(nodesPerIteration) {
 			b.StopTimer()
 			set.ClosePeriod(1, 1)
 			b.StartTimer()
@@ -574,7 +574,7 @@
 func benchmarkFreeze(b *testing.B, set *telemetry.Set) {
 	for b.Loop() {
 		b.StopTimer()
-		for set.GatherNodeGauges(nodesPerTurn) {
+		for set.GatherNodeGauges(nodesPerIteration) {
 		}
 		b.StartTimer()
 		set.FreezePeriod(1, 1)
@@ -584,7 +584,7 @@
 func benchmarkEncode(b *testing.B, set *telemetry.Set) {
 	set.FreezePeriod(1, 1)
 	for b.Loop() {
-		if set.EncodePeriod(valuesPerTurn) != nil {
+		if set.EncodePeriod(valuesPerIteration) != nil {
 			b.StopTimer()
 			set.FreezePeriod(1, 1)
 			b.StartTimer()
@@ -612,7 +612,7 @@
 	}
 	reader := period.Read()
 	for b.Loop() {
-		for range pointsPerTurn {
+		for range pointsPerIteration {
 			series, value, ok := reader.Next()
 			if !ok {
 				reader = period.Read()
--- a/internal/dispatcher/exporter/graphite.go
+++ b/internal/dispatcher/exporter/graphite.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	picklePointsPerTurn = 100       // points rendered in a turn as a pickle, which costs the library three times as much as lines
-	maxBatchBytes       = 256 << 10 // bytes sent on a connection, so that a returning receiver isn't flooded
-	minBatchBytes       = 4 << 10
-	maxUnsentBytes      = 64 << 10 // bytes in our socket buffer
-	batchPause          = 0.05     // seconds between two batches
-	pollPause           = 0.005    // seconds between two checks for room in the socket buffer
-	checksPerTimeout    = 8        // of an attempt's progress
-	warnUnconfirmed     = 3        // unconfirmed attempts in a row after which a warning is logged
+	// picklePointsPerIteration is pointsPerIteration for pickles, which cost the library three times as much as lines.
+	picklePointsPerIteration = 100
+
+	maxBatchBytes    = 256 << 10 // bytes sent on a connection, so that a returning receiver isn't flooded
+	minBatchBytes    = 4 << 10
+	maxUnsentBytes   = 64 << 10 // bytes in our socket buffer
+	batchPause       = 0.05     // seconds between two batches
+	pollPause        = 0.005    // seconds between two checks for room in the socket buffer
+	checksPerTimeout = 8        // of an attempt's progress
+	warnUnconfirmed  = 3        // unconfirmed attempts in a row after which a warning is logged
 )
 
 // GraphiteOptions configure the output to a Graphite receiver.
@@ -154,7 +156,7 @@
 	g.writeMore()
 }
 
-// writeMore renders and writes some points per turn, until the batch is full or nothing is left.
+// writeMore renders and writes some points in each iteration of the event loop, until the batch is full or nothing is left.
 func (g *Graphite) writeMore() {
 	if g.conn == nil || !g.connected {
 		return
@@ -194,7 +196,7 @@
 		return g.renderPickle(b)
 	}
 	seconds := g.period.Timestamp / 1000
-	for ; points < pointsPerTurn; points++ {
+	for ; points < pointsPerIteration; points++ {
 		s, v, ok := g.reader.Next()
 		if !ok {
 			g.logTruncated(g.reader)
@@ -210,8 +212,8 @@
 // renderPickle renders the next points as one pickle.
 func (g *Graphite) renderPickle(b []byte) (out []byte, points int, done bool) {
 	seconds := g.period.Timestamp / 1000
-	list := make([]any, 0, picklePointsPerTurn)
-	for len(list) < picklePointsPerTurn && !done {
+	list := make([]any, 0, picklePointsPerIteration)
+	for len(list) < picklePointsPerIteration && !done {
 		s, v, ok := g.reader.Next()
 		if !ok {
 			g.logTruncated(g.reader)
--- a/internal/dispatcher/exporter/output.go
+++ b/internal/dispatcher/exporter/output.go
@@ -9,7 +9,7 @@
 
 // Output delivers to one receiver. The unexported methods are called by its Exporter only.
 type Output interface {
-	// Name identifies the receiver across incarnations; acknowledgements are stored under it.
+	// Name identifies the receiver across restarts; acknowledgements are stored under it.
 	Name() string
 	// Kind is graphite or collectd.
 	Kind() string
--- a/internal/dispatcher/linelog/file.go
+++ b/internal/dispatcher/linelog/file.go
@@ -21,7 +21,7 @@
 	}
 	l.file = file
 	l.size = info.Size()
-	// An earlier incarnation may have been killed in the middle of a line.
+	// An earlier process may have been killed in the middle of a line.
 	var last [1]byte
 	if l.size > 0 {
 		if _, err := file.ReadAt(last[:], l.size-1); err == nil && last[0] != '\n' {
--- a/internal/dispatcher/linelog/linelog.go
+++ b/internal/dispatcher/linelog/linelog.go
@@ -73,7 +73,7 @@
 // FailedLines counts the lines that the disk rejected.
 func (l *Log) FailedLines() uint64 { return l.failedLines.Load() }
 
-// BeginLine returns the buffer to append a line to, with its line break; pass the result to EndLine.
+// BeginLine returns the buffer to append a line to, with its line break; pass the result to EndLine before any other call.
 func (l *Log) BeginLine() []byte {
 	if l.buffer == nil {
 		select {
@@ -110,7 +110,8 @@
 	l.bufferedLines = 0
 }
 
-// Close writes everything and closes the file; it waits for the disk.
+// Close writes everything and closes the file; it waits for the disk. The log must not be used afterwards, except for its
+// counts.
 func (l *Log) Close() {
 	l.Flush()
 	close(l.queue)
--- a/internal/dispatcher/requestlog/requestlog.go
+++ b/internal/dispatcher/requestlog/requestlog.go
@@ -21,7 +21,7 @@
 	MaxBytes       int64 // of a file, see linelog.Options
 	KeepFiles      int   // rotated files to keep
 	DispatcherName string
-	Incarnation    string   // of the process; prefix of audit marks
+	Incarnation    string   // generation of the process, as auditlog.GenerationName writes it; prefix of audit marks
 	Classes        []string // by number in the settings
 	NodeSlot       func(worker loadbalancer.WorkerID) string
 	// Report is called with errors, on the log's goroutine.
--- a/internal/dispatcher/spool/record.go
+++ b/internal/dispatcher/spool/record.go
@@ -20,7 +20,7 @@
 // The kinds of records.
 const (
 	kindNames        = 'N' // names of series: the index of the first, and the names in order
-	kindPeriod       = 'P'
+	kindPeriod       = 'P' // timestamp and interval in milliseconds (8 bytes each, big-endian), and Period.EncodedValues
 	kindSlots        = 'S' // slot assignments
 	kindAcknowledged = 'A' // timestamp of the last period that each receiver has
 )
--- a/internal/dispatcher/spool/recovery.go
+++ b/internal/dispatcher/spool/recovery.go
@@ -10,7 +10,7 @@
 	"cinderroad/internal/dispatcher/telemetry"
 )
 
-// Recovered is what earlier incarnations left.
+// Recovered is what earlier processes left.
 type Recovered struct {
 	Periods         []*telemetry.Period // oldest first, within the limit
 	Totals          map[string]float64  // at the end of the last period
@@ -20,8 +20,9 @@
 	UnknownFiles    int              // files of an unknown version, renamed to NAME.strange
 }
 
-// recoverFiles reads the spool's files, oldest first, up to a limit derived from maxBytes. It returns the number of
-// the last file, too.
+// recoverFiles reads the spool's files, oldest first. It ends at the file with which their sizes exceed twice maxBytes
+// and a record, as they can after the limit was lowered: that file and those after it are not read. lastFile is the number
+// of the file at which it ended.
 func recoverFiles(dir, name string, maxBytes int64) (recovered *Recovered, lastFile int, err error) {
 	recovered = &Recovered{Totals: map[string]float64{}, Acknowledged: map[string]int64{}}
 	files, err := listFiles(dir, name)
--- a/internal/dispatcher/spool/spool.go
+++ b/internal/dispatcher/spool/spool.go
@@ -40,7 +40,7 @@
 	table       *telemetry.SeriesTable // of the current file
 	namedSeries int                    // series whose names the current file has
 	slots       []byte
-	fileBytes   int64 // queued for the current file
+	fileBytes   int64 // queued for the current file, dropped records included
 
 	// The writing goroutine owns the rest.
 	file       *os.File
@@ -134,7 +134,7 @@
 // Dropped counts the records that the disk was too slow for.
 func (s *Spool) Dropped() uint64 { return s.dropped.Load() }
 
-// Close writes the queued records and closes the file.
+// Close writes the queued records and closes the file; it waits for the disk. Nothing may be appended afterwards.
 func (s *Spool) Close() {
 	close(s.queue)
 	<-s.done
@@ -161,6 +161,7 @@
 			s.writeErrors.Add(1)
 		} else if err := s.write(records); err != nil {
 			s.recordError(err)
+			// Names and slot assignments come first; later records are read by them.
 			broken = records[0].kind != kindPeriod && records[0].kind != kindAcknowledged
 		}
 		if done := records[len(records)-1].done; done != nil {
--- a/internal/dispatcher/telemetry/classes.go
+++ b/internal/dispatcher/telemetry/classes.go
@@ -16,18 +16,26 @@
 	answers   int // followed by the other verdicts
 	rejected  int // followed by the other reasons
 	failed    int // followed by the other reasons
-	attempts  int // first attempts, then retries, hedged requests, and hedged requests that won
+	attempts  int // followed by the others, at the offsets attemptFirst and so on
 	results   int // followed by the other results
 	latency   histogram
 	startWait histogram
 }
 
-// attemptDocs describes the series of attempts, in the order of the indices from classSeries.attempts on.
-var attemptDocs = []SeriesDoc{
-	{Pattern: "first", Help: "First attempts that have ended."},
-	{Pattern: "repeats", Help: "Retries that have ended: attempts made after another attempt had ended."},
-	{Pattern: "copies", Help: "Hedged requests that have ended: attempts made while another was in flight."},
-	{Pattern: "copies_won", Help: "Hedged requests that served their job."},
+// The series of attempts, as offsets from classSeries.attempts.
+const (
+	attemptFirst = iota
+	attemptRetry
+	attemptHedged
+	attemptHedgedWon
+	attemptSeriesCount
+)
+
+var attemptDocs = [attemptSeriesCount]SeriesDoc{
+	attemptFirst:     {Pattern: "first", Help: "First attempts that have ended."},
+	attemptRetry:     {Pattern: "repeats", Help: "Retries that have ended: attempts made after another attempt had ended."},
+	attemptHedged:    {Pattern: "copies", Help: "Hedged requests that have ended: attempts made while another was in flight."},
+	attemptHedgedWon: {Pattern: "copies_won", Help: "Hedged requests that served their job."},
 }
 
 func (s *Set) addClasses() {
@@ -84,7 +92,7 @@
 			Help: help + ": " + quantile.name + ". None without answers.",
 		})
 	}
-	return *newLatency(first)
+	return *newHistogram(first)
 }
 
 // reasonName returns a reason's name in series.
@@ -115,6 +123,8 @@
 	dispatch.ReasonLeaseExpired:     "the dispatcher is out of its lease",
 }
 
+// class returns the series of a class by its number in the settings. A number that is out of range, such as -1, gets those
+// of unknown classes.
 func (s *Set) class(i int) *classSeries {
 	if i < 0 || i >= len(s.classes)-1 {
 		i = len(s.classes) - 1
@@ -137,22 +147,28 @@
 		if answer.StartedAt > 0 {
 			class.startWait.record(answer.StartedAt - answer.ArrivedAt)
 		}
-		if answer.WinningAttempt >= 0 && answer.WinningAttempt < len(answer.Attempts) && answer.Attempts[answer.WinningAttempt].Hedged {
-			s.values[class.attempts+3]++
+		if wonByHedge(answer) {
+			s.values[class.attempts+attemptHedgedWon]++
 		}
 	}
 }
 
+// wonByHedge reports whether a hedged request served the job. WinningAttempt names no attempt if none won.
+func wonByHedge(answer *dispatch.AnswerRecord) bool {
+	winner := answer.WinningAttempt
+	return winner >= 0 && winner < len(answer.Attempts) && answer.Attempts[winner].Hedged
+}
+
 // ObserveAttempt implements dispatch.Observer.
 func (s *Set) ObserveAttempt(attempt *dispatch.AttemptRecord) {
 	class := s.class(attempt.Class)
 	switch {
 	case attempt.Attempt == 0:
-		s.values[class.attempts]++
+		s.values[class.attempts+attemptFirst]++
 	case attempt.Hedged:
-		s.values[class.attempts+2]++
+		s.values[class.attempts+attemptHedged]++
 	default:
-		s.values[class.attempts+1]++
+		s.values[class.attempts+attemptRetry]++
 	}
 	s.values[class.results+int(attempt.Result)]++
 	s.nodes.countAttempt(s, attempt)
--- a/internal/dispatcher/telemetry/drains.go
+++ b/internal/dispatcher/telemetry/drains.go
@@ -42,7 +42,7 @@
 	} else {
 		s.values[s.drains.violated]++
 	}
-	if ms := margin * 1000; !(s.leastDrainMargin <= ms) {
+	if ms := margin * 1000; !(s.leastDrainMargin <= ms) { // negated, so that it holds if there is no value yet (NaN)
 		s.leastDrainMargin = ms
 	}
 }
--- a/internal/dispatcher/telemetry/handoff.go
+++ b/internal/dispatcher/telemetry/handoff.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// AddTotals adds totals of an earlier incarnation, or of another process of this dispatcher. Totals of series that
-// don't exist yet are kept until they do.
+// AddTotals adds totals of an earlier process of this dispatcher, or of the other one during an upgrade. Totals of series
+// that don't exist yet are kept until they do. Values that no counter can have are ignored.
 func (s *Set) AddTotals(totals map[string]float64) {
 	usable := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	for name, v := range totals {
@@ -40,11 +40,11 @@
 type Latencies map[string][][2]int64
 
 // TakeDelta returns what was counted and measured since the last call, or since the start, for another process to
-// add.
-func (s *Set) TakeDelta() (counts map[string]float64, spans Latencies) {
+// add by AddTotals and MergeLatencies. The latencies are gone from the open period here, the counts are not.
+func (s *Set) TakeDelta() (counts map[string]float64, latencies Latencies) {
 	s.poll()
 	counts = map[string]float64{}
-	spans = Latencies{}
+	latencies = Latencies{}
 	for name, i := range s.counters {
 		if v := s.values[i] - s.lastDelta[i]; v > 0 {
 			counts[name] = v
@@ -53,13 +53,13 @@
 	}
 	s.forEachHistogram(func(name string, l *histogram) {
 		if bars := l.takeCounts(); bars != nil {
-			spans[name] = bars
+			latencies[name] = bars
 		}
 	})
-	return counts, spans
+	return counts, latencies
 }
 
 // MergeLatencies adds the latencies of another process to the open period.
-func (s *Set) MergeLatencies(spans Latencies) {
-	s.forEachHistogram(func(name string, l *histogram) { l.addCounts(spans[name]) })
+func (s *Set) MergeLatencies(latencies Latencies) {
+	s.forEachHistogram(func(name string, l *histogram) { l.addCounts(latencies[name]) })
 }
--- a/internal/dispatcher/telemetry/histogram.go
+++ b/internal/dispatcher/telemetry/histogram.go
@@ -7,7 +7,7 @@
 // Latencies are recorded in microseconds within these bounds, to two significant digits (1%).
 const (
 	minLatency        = 1
-	maxLatency        = 3600e6
+	maxLatency        = 3600e6 // an hour; longer ones count as an hour
 	significantDigits = 2
 )
 
@@ -29,7 +29,7 @@
 	firstSeries int // index of the first quantile's series
 }
 
-func newLatency(first int) *histogram {
+func newHistogram(first int) *histogram {
 	return &histogram{values: hdrhistogram.New(minLatency, maxLatency, significantDigits), firstSeries: first}
 }
 
--- a/internal/dispatcher/telemetry/nodegauges.go
+++ b/internal/dispatcher/telemetry/nodegauges.go
@@ -30,7 +30,7 @@
 }
 
 // GatherNodeGauges writes the gauges of at most that many slots; false once all are written. It spreads the work at
-// the end of a period over several turns of the event loop; FreezePeriod writes the rest.
+// the end of a period over several iterations of the event loop; FreezePeriod writes the rest.
 func (s *Set) GatherNodeGauges(limit int) (more bool) {
 	n := &s.nodes
 	end := min(n.gatheredSlots+limit, len(n.ordered))
--- a/internal/dispatcher/telemetry/period.go
+++ b/internal/dispatcher/telemetry/period.go
@@ -47,10 +47,11 @@
 
 // Reader decodes the values of a period one by one, so that the caller can pause.
 type Reader struct {
-	table        *SeriesTable
-	input        []byte
-	index, count int
-	err          error
+	table *SeriesTable
+	input []byte // the values that were not read yet
+	index int    // of the next value's series
+	count int    // values of the period
+	err   error
 }
 
 // Read returns a reader at the first value.
--- a/internal/dispatcher/telemetry/ring.go
+++ b/internal/dispatcher/telemetry/ring.go
@@ -75,7 +75,8 @@
 // Next returns the number of the first period that the receiver doesn't have.
 func (p *Cursor) Next() uint64 { return p.next }
 
-// PeriodFrom returns the first buffered period with number n or more, and its number; nil if there is none.
+// PeriodFrom returns the first buffered period with number n or more, and its number, which is above n if period n was
+// dropped; nil if there is none.
 func (r *Ring) PeriodFrom(n uint64) (*Period, uint64) {
 	n = max(n, r.oldest)
 	if n-r.oldest >= uint64(len(r.periods)) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// SkipTo records that a receiver has all periods up to a timestamp, delivered by an earlier incarnation.
+// SkipTo records that a receiver has all periods up to a timestamp, delivered by an earlier process.
 func (r *Ring) SkipTo(p *Cursor, timestamp int64) {
 	for {
 		period, number := r.PeriodFrom(p.next)
--- a/internal/dispatcher/telemetry/series.go
+++ b/internal/dispatcher/telemetry/series.go
@@ -16,7 +16,7 @@
 
 // The kinds.
 const (
-	Counter Kind = iota // a total that only grows, across incarnations if the last total is known
+	Counter Kind = iota // a total that only grows, across restarts of the process if the last total is known
 	Gauge               // the value at the end of the period, or over it
 )
 
--- a/internal/dispatcher/telemetry/set.go
+++ b/internal/dispatcher/telemetry/set.go
@@ -33,7 +33,7 @@
 	encoded           int       // number of these already encoded
 	encoding          *Period
 	polled            []polledSeries
-	pending           map[string]float64 // totals of an earlier incarnation for series that don't exist yet
+	pending           map[string]float64 // totals of an earlier process for series that don't exist yet
 	lastDelta         map[int]float64    // counters at the last TakeDelta
 
 	classes          []classSeries // the last one is for jobs of unknown classes
@@ -46,7 +46,7 @@
 type polledSeries struct {
 	index int
 	value func() float64
-	base  float64 // total of earlier incarnations
+	base  float64 // total of earlier processes
 }
 
 // New returns a Set without node series.
@@ -82,7 +82,7 @@
 	}
 }
 
-// add adds a series and returns its index. A counter continues a total of an earlier incarnation.
+// add adds a series and returns its index. A counter continues an earlier process's total.
 func (s *Set) add(name string, kind Kind) int {
 	i := s.table.Len()
 	s.table.Append(Series{Name: name, Kind: kind})
--- a/internal/dispatcher/telemetry/slotallocator.go
+++ b/internal/dispatcher/telemetry/slotallocator.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// restore remembers the slot that a node had in an earlier incarnation.
+// restore remembers the slot that a node had in an earlier process of this dispatcher.
 func (a *slotAllocator) restore(node string, s location, slot int) {
 	a.previous[node] = slotID{s, slot}
 }
--- a/internal/dispatcher/telemetry/slotassignment.go
+++ b/internal/dispatcher/telemetry/slotassignment.go
@@ -8,7 +8,7 @@
 	"cinderroad/loadbalancer"
 )
 
-// SlotAssignments returns the current assignments, for the next incarnation.
+// SlotAssignments returns the current assignments, for the next process of this dispatcher.
 func (s *Set) SlotAssignments() (assignments []SlotAssignment) {
 	n := &s.nodes
 	for _, slot := range n.ordered {
@@ -19,7 +19,7 @@
 	return assignments
 }
 
-// RestoreSlots makes nodes get the slots that an earlier incarnation gave them, once they are listed. Assignments
+// RestoreSlots makes nodes get the slots that an earlier process gave them, once they are listed. Assignments
 // that don't fit the settings are ignored.
 func (s *Set) RestoreSlots(assignments []SlotAssignment) {
 	n := &s.nodes
