--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -40,7 +40,7 @@
 	return binary.LittleEndian.AppendUint32(data, math.Float32bits(value))
 }
 
-// Reader reads the fields of an encoding in order. Each method takes the name under which Malformed reports its field.
+// Reader reads the fields of an encoding in order; a copy of it goes on from the same position independently. Each method takes the name under which Malformed reports its field.
 // After the first malformed field every method returns the zero value. A Reader is not safe for concurrent use.
 type Reader struct {
 	data      []byte
@@ -73,7 +73,7 @@
 		r.malformed = field
 		r.failed = true
 	}
-	r.next = len(r.data)
+	r.next = len(r.data) // so that all further reads find nothing
 }
 
 // ExpectEnd marks the encoding as malformed if bytes follow the field read last.
@@ -143,7 +143,7 @@
 
 // takeVarint consumes a varint of a size, which is 0 or less if the varint is cut short or does not fit 64 bits.
 func (r *Reader) takeVarint(field string, size int) bool {
-	if size <= 0 || r.canonical && size > 1 && r.data[r.next+size-1] == 0 {
+	if size <= 0 || r.canonical && r.isOverlong(size) {
 		r.Fail(field)
 		return false
 	}
@@ -151,6 +151,10 @@
 	return true
 }
 
+// isOverlong reports whether the next varint, of size bytes, is longer than it need be: its last byte holds the highest seven
+// bits, which are then all zero.
+func (r *Reader) isOverlong(size int) bool { return size > 1 && r.data[r.next+size-1] == 0 }
+
 // Float32 reads a number that AppendFloat32 wrote. It may be infinite or not a number.
 func (r *Reader) Float32(field string) float32 {
 	r.begin()
--- a/internal/system/deflate/deflate.go
+++ b/internal/system/deflate/deflate.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// MaxRatio is the greatest number of bytes that one byte of a deflate stream can expand to.
+	// MaxRatio is the greatest number of bytes that one byte of a deflate stream can expand to: four matches, of two bits
+	// each (a bit for the length and a bit for the distance), of the format's longest length, 258 bytes.
 	MaxRatio = 1032
 	// level is a fast one, since receivers wait, and machines with slow links have little processor time. Its writer
 	// takes a third less memory than that of the fastest level.
@@ -30,14 +31,14 @@
 	return writer
 }}
 
-// Pack returns the packed form of the data that write writes, which must be size bytes. Writes never fail. write must not
-// keep the writer. Pack may be called concurrently.
+// Pack returns the packed form of the data that write writes, which must be size bytes: Pack does not check that, and the
+// receiver would reject other data. Writes never fail. write must not keep the writer. Pack may be called concurrently.
 func Pack(size int, write func(to io.Writer)) []byte {
 	packed := bytes.NewBuffer(binary.AppendUvarint(nil, uint64(size)))
 	writer := writers.Get().(*flate.Writer)
 	defer writers.Put(writer)
 	writer.Reset(packed)
-	defer writer.Reset(io.Discard)
+	defer writer.Reset(io.Discard) // an idle writer must not keep the packed data in memory
 	write(writer)
 	_ = writer.Close() // a buffer returns no error
 	return packed.Bytes()
--- a/internal/system/exposition/exposition.go
+++ b/internal/system/exposition/exposition.go
@@ -32,13 +32,14 @@
 	currentFamily string // name of the family that Sample adds to
 }
 
-// Family begins a metric family; its samples must follow.
+// Family begins a metric family; its samples must follow. A page must have each family once. Names of families and labels are
+// written as they are, so they must be valid in the format; help texts and label values may be any text.
 func (p *Page) Family(kind Kind, name, help string) {
 	p.currentFamily = name
 	p.text = append(p.text, "# HELP "+name+" "+helpEscaper.Replace(help)+"\n# TYPE "+name+" "+string(kind)+"\n"...)
 }
 
-// Sample adds a sample to the family that was begun last.
+// Sample adds a sample to the family that was begun last. Within a family, each sample needs other label values.
 func (p *Page) Sample(value float64, labels ...Label) {
 	p.text = append(p.text, p.currentFamily...)
 	for i, label := range labels {
--- a/internal/system/exposition/serve.go
+++ b/internal/system/exposition/serve.go
@@ -15,7 +15,7 @@
 const (
 	headerTimeout  = 2 * time.Second
 	idleTimeout    = 10 * time.Second
-	maxHeaderBytes = 8 << 10 // bytes
+	maxHeaderBytes = 8 << 10
 )
 
 // Serve serves a page, which fill writes anew for each request, at an address until the context ends; it serves none at
--- a/internal/system/intrusivelist/list.go
+++ b/internal/system/intrusivelist/list.go
@@ -1,5 +1,8 @@
 // Package intrusivelist is a doubly linked list whose elements hold their own links: adding, moving and removing one
 // allocates nothing and takes constant time.
+//
+// The list does not check what its callers do: to add an element that is in a list already, or to remove one that is not
+// in this list, corrupts the lists concerned.
 package intrusivelist
 
 import "iter"
@@ -14,11 +17,11 @@
 	ListLinks() *Links[E]
 }
 
-// List is a list of elements in the order in which they were added. The zero value is empty. It is not safe for
-// concurrent use.
+// List is a list of elements in the order in which they were added or moved to its end. The zero value is empty. It is not
+// safe for concurrent use.
 type List[E any, P Element[E]] struct{ first, last *E }
 
-// First returns the element that was added earliest, nil if the list is empty.
+// First returns the element that was added, or moved to the end, earliest; nil if the list is empty.
 func (l *List[E, P]) First() *E { return l.first }
 
 // PushBack appends an element that is in no list.
@@ -34,7 +37,7 @@
 	l.last = element
 }
 
-// Remove removes an element of this list.
+// Remove removes an element, which must be in this list.
 func (l *List[E, P]) Remove(element *E) {
 	links := P(element).ListLinks()
 	if links.previous != nil {
@@ -56,7 +59,8 @@
 	l.PushBack(element)
 }
 
-// All yields every element in order. The element that is yielded may be removed meanwhile.
+// All yields every element in order. Meanwhile the element that is yielded may be removed, but not the one after it, which
+// is yielded next in any case.
 func (l *List[E, P]) All() iter.Seq[*E] {
 	return func(yield func(*E) bool) {
 		for element := l.first; element != nil; {
--- a/internal/system/jsonfield/containers.go
+++ b/internal/system/jsonfield/containers.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/jx"
 )
 
-// ReadObject calls field for each field of an object, in order.
+// ReadObject calls field for each field of an object, in order; for a duplicate field once for each time that it is there.
 func (v Value) ReadObject(field func(name string, value Value)) bool {
 	if !v.IsObject() {
 		v.AddProblem("must be an object")
--- a/internal/system/logfmt/logfmt.go
+++ b/internal/system/logfmt/logfmt.go
@@ -1,5 +1,8 @@
-// Package logfmt provides a zap core that writes each event as a line of key=value pairs: time, level and message, then
-// the fields in the order in which they were added.
+// Package logfmt provides a zap core that writes each event as a line of key=value pairs: time, level, the logger's name if it
+// has one and the message, then the fields in the order in which they were added.
+//
+// Times are in UTC with milliseconds, numbers of type float64 have six significant digits. Keys are written as they are, so
+// they must be single words. A namespace (zap.Namespace) does not apply to the fields after it.
 package logfmt
 
 import (
@@ -10,12 +13,16 @@
 	"strings"
 	"sync"
 	"time"
+	"unicode/utf8"
 
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 )
 
-const timeFormat = "2006-01-02T15:04:05.000Z"
+const (
+	timeFormat        = "2006-01-02T15:04:05.000Z" // of times in UTC
+	significantDigits = 6                          // of a float64
+)
 
 // New returns a logger that writes events of the level and above to w, one Write each. Its cores share a lock, so w
 // need not be safe for concurrent use.
@@ -71,6 +78,8 @@
 // Sync does nothing: lines are written at once.
 func (c *core) Sync() error { return nil }
 
+// appendFields appends the pairs of the fields. One field may add several pairs, such as those of an object that is inlined
+// (zap.Inline); these are in the order of their keys.
 func appendFields(line []byte, fields []zapcore.Field) []byte {
 	for i := range fields {
 		values := zapcore.NewMapObjectEncoder()
@@ -100,7 +109,7 @@
 	case time.Time:
 		return v.UTC().Format(timeFormat)
 	case float64:
-		return strconv.FormatFloat(v, 'g', 6, 64)
+		return strconv.FormatFloat(v, 'g', significantDigits, 64)
 	}
 	return fmt.Sprint(value)
 }
@@ -116,6 +125,9 @@
 	return append(line, value...)
 }
 
+// needsQuoting reports whether a value that contains the character is quoted: white space, control characters of ASCII, what
+// has a meaning in a line, and bytes that are no valid UTF-8.
 func needsQuoting(r rune) bool {
-	return r <= ' ' || r == '"' || r == '=' || r == '\\' || r == 0x7f || r == 0xfffd
+	const del = 0x7f
+	return r <= ' ' || r == '"' || r == '=' || r == '\\' || r == del || r == utf8.RuneError
 }
--- a/internal/system/retry/retry.go
+++ b/internal/system/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry waits until a context ends and repeats operations that may succeed a little later. Packages that call a
-// peer implement their own backoff between attempts.
+// Package retry has a sleep that ends with a context, and repeats the opening of addresses that a process which is about
+// to end may still hold. It has no backoff: packages that call a peer implement their own.
 package retry
 
 import (
--- a/internal/system/validation/validation.go
+++ b/internal/system/validation/validation.go
@@ -77,8 +77,8 @@
 	p.problems = append(p.problems, Problem{Path: path, Offset: offset, Message: message})
 }
 
-// AddError adds the problems of an *Error that err wraps. Any other error is added as a problem of the whole document;
-// nil adds none.
+// AddError adds the problems of an *Error that err wraps, without the text of the errors around it. Any other error is added
+// as a problem of the whole document; nil adds none.
 func (p *Problems) AddError(err error) {
 	if err == nil {
 		return
