--- a/internal/system/codec/codec.go
+++ b/internal/system/codec/codec.go
@@ -40,8 +40,9 @@
 	return binary.LittleEndian.AppendUint32(data, math.Float32bits(value))
 }
 
-// Reader reads the fields of an encoding in order; a copy of it goes on from the same position independently. Each method takes the name under which Malformed reports its field.
-// After the first malformed field every method returns the zero value. A Reader is not safe for concurrent use.
+// Reader reads the fields of an encoding in order. Each method takes the name under which Malformed reports its field.
+// After the first malformed field every method returns the zero value. A copy of
+// a Reader goes on from the same position independently. A Reader is not safe for concurrent use.
 type Reader struct {
 	data      []byte
 	start     int    // offset of the field read last, or of the first malformed one
--- a/internal/system/emulator/configuration.go
+++ b/internal/system/emulator/configuration.go
@@ -39,6 +39,12 @@
 	Routes []routeDocument `json:"routes"`
 }
 
+// Properties of the engines of all services.
+const (
+	cacheBytesPerToken = 327680
+	engineLinkMbps     = 550000.0
+)
+
 // routeHost is the host of all routes.
 const routeHost = "screening.example"
 
@@ -93,8 +99,8 @@
 		service["backend"] = map[string]any{
 			"capacity":          e.MaxRunning,
 			"cache_tokens":      e.MemoryTokens,
-			"token_cache_bytes": 327680,
-			"link_mbps":         550000.0,
+			"token_cache_bytes": cacheBytesPerToken,
+			"link_mbps":         engineLinkMbps,
 			"stride":            e.EventTokens,
 			"models":            []map[string]string{{"name": modelName}},
 		}
--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -37,7 +37,7 @@
 	pollInterval         = 50 * time.Millisecond
 	progressInterval     = time.Second
 	progressPrecision    = 100 * time.Millisecond
-	firstVersion         = 3
+	firstVersion         = 3 // above 1: the first version may be any
 	platformAddress      = "127.2.0.1:0"
 )
 
@@ -54,7 +54,7 @@
 	routes      map[string]*client.Route // by class
 	inForce     configurationDocument    // the configuration that was acknowledged last
 	runnerStats []runner.Stats           // of all runners, once they are closed
-	faults      sync.WaitGroup
+	faults      sync.WaitGroup           // one for each fault that is scheduled or going on
 }
 
 // Run runs an emulation and returns its report. An error says that the emulation itself failed; faults of the system
--- a/internal/system/emulator/faults.go
+++ b/internal/system/emulator/faults.go
@@ -56,13 +56,14 @@
 	return "", fmt.Errorf("unknown fault %q, the known ones are %v", name, Faults())
 }
 
+// Times of the faults, and what the change of the configuration needs.
 const (
-	crashDowntime     = 4500 * time.Millisecond
-	terminationNotice = 2 * time.Second
-	evacuationTime    = 8 * time.Second
-	versionStep       = 4
+	crashDowntime     = 4500 * time.Millisecond // until a crashed or silent runner is replaced
+	terminationNotice = 2 * time.Second         // of DrainAtShortNotice, which is less than drain's own time
+	evacuationTime    = 8 * time.Second         // until an evacuated zone is taken back
+	versionStep       = 4                       // above 1: versions have to rise, not to follow each other
 	probeTimeout      = 5 * time.Second
-	corruptionTime    = 8 * time.Second
+	corruptionTime    = 8 * time.Second // for which runners corrupt responses
 )
 
 // corruption holds the shares of responses that are corrupted in each way.
@@ -91,7 +92,8 @@
 	}()
 }
 
-// injectFault injects a fault. What happens to runners goes on by timers after it has returned.
+// injectFault injects a fault. What happens to runners goes on by timers after it has returned. Faults of runners affect the
+// scenario's first service, which has engines; those of processes affect the first process of the program.
 func (e *emulation) injectFault(ctx context.Context, fault Fault) error {
 	engineService := e.options.Scenario.Services[0].Name
 	switch fault {
@@ -100,9 +102,9 @@
 	case DrainAtShortNotice:
 		e.runners.drain(e.runners.pickRunner(engineService), terminationNotice)
 	case CrashRunner:
-		e.runners.crash(e.runners.pickRunner(engineService), false, crashDowntime)
+		e.runners.crash(e.runners.pickRunner(engineService), crashDowntime)
 	case SilenceRunner:
-		e.runners.crash(e.runners.pickRunner(engineService), true, crashDowntime)
+		e.runners.silence(e.runners.pickRunner(engineService), crashDowntime)
 	case ChangeConfiguration:
 		return e.addRoute(ctx)
 	case EvacuateZone:
--- a/internal/system/emulator/fleet.go
+++ b/internal/system/emulator/fleet.go
@@ -22,6 +22,7 @@
 	connectionCloseShare = 0.01
 	reportLag            = 100 * time.Millisecond
 	plainBodyBytes       = 800
+	runnersPerSubnet     = 250             // last bytes of the runners' addresses are 1 to 250
 	delistDelay          = 3 * time.Second // for which a crashed runner stays on the platform's list
 	extraDrainTime       = time.Second     // for which a draining runner serves beyond the required time
 )
@@ -46,13 +47,14 @@
 // errFleetClosed says that the emulation has ended.
 var errFleetClosed = errors.New("the runners have been closed")
 
-// startFleet starts the runners of all services.
+// startFleet starts the runners of all services. If one does not start, it returns the fleet with the others, which the caller
+// has to close, and the error.
 func startFleet(scenario *policysim.Scenario, zones map[string]string, platform *fakeplatform.Platform,
-	referee *checker.Checker) (*runnerFleet, error) {
+	requestChecker *checker.Checker) (*runnerFleet, error) {
 	f := &runnerFleet{
 		scenario: scenario,
 		platform: platform,
-		checker:  referee,
+		checker:  requestChecker,
 		zones:    zones,
 		entries:  make(map[string]fakeplatform.Entry),
 		services: make(map[string]*policysim.Service),
@@ -108,8 +110,8 @@
 	return r, nil
 }
 
-// runnerOptions returns the options of the next runner. Runners have addresses of their own, beside those of the
-// machines.
+// runnerOptions returns the options of the runner with the number f.count. Runners have addresses of their own, beside those
+// of the machines. The mutex must be held.
 func (f *runnerFleet) runnerOptions(s *policysim.Service, zone string) (o runner.Options, err error) {
 	o = runner.Options{
 		Runner: checker.Runner{
@@ -118,7 +120,7 @@
 			Zone:    zone,
 			Region:  f.zones[zone],
 		},
-		Address:     fmt.Sprintf("127.1.%d.%d:0", f.count/250, 1+f.count%250),
+		Address:     fmt.Sprintf("127.1.%d.%d:0", f.count/runnersPerSubnet, 1+f.count%runnersPerSubnet),
 		HealthPath:  healthPath,
 		MaxConns:    s.MaxConnections,
 		IdleTimeout: runnerIdleTimeout,
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// pickRunner returns a running runner of a service that is not draining.
+// pickRunner returns a running runner of a service that is not draining; nil if there is none.
 func (f *runnerFleet) pickRunner(service string) *runner.Runner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,14 +190,23 @@
 	})
 }
 
-// crash ends a runner abruptly; the platform's list shows it for some time. A replacement starts after the downtime.
-func (f *runnerFleet) crash(r *runner.Runner, silent bool, downtime time.Duration) {
+// crash ends a runner abruptly, which resets its connections, and replaces it.
+func (f *runnerFleet) crash(r *runner.Runner, downtime time.Duration) {
 	f.removeRunning(r)
-	if silent {
-		r.Hang()
-	} else {
-		r.Crash()
-	}
+	r.Crash()
+	f.replaceAfter(r, downtime)
+}
+
+// silence has a runner stop responding without closing its connections, and replaces it.
+func (f *runnerFleet) silence(r *runner.Runner, downtime time.Duration) {
+	f.removeRunning(r)
+	r.Hang()
+	f.replaceAfter(r, downtime)
+}
+
+// replaceAfter starts a replacement of a runner that has failed, after the downtime. The platform's list shows the failed one
+// for delistDelay.
+func (f *runnerFleet) replaceAfter(r *runner.Runner, downtime time.Duration) {
 	time.AfterFunc(delistDelay, func() { f.platform.Remove(r.ID()) })
 	time.AfterFunc(downtime, func() {
 		r.Close()
--- a/internal/system/emulator/operator.go
+++ b/internal/system/emulator/operator.go
@@ -25,11 +25,11 @@
 	maxBackoff      = time.Second
 )
 
-// operator sends orders to the control machines.
+// operator sends orders to the control machines. It is not safe for concurrent use: each fault has one of its own.
 type operator struct {
 	addresses []string
 	client    http.Client
-	attempts  int
+	attempts  int // that failed, of all orders; the next one goes to the address with this number, modulo theirs
 }
 
 func (d *deployment) operator() *operator {
--- a/internal/system/emulator/process.go
+++ b/internal/system/emulator/process.go
@@ -18,7 +18,8 @@
 // restartDelay is how long the platform takes to restart a process.
 const restartDelay = 300 * time.Millisecond
 
-// process is one program on one machine. It is restarted whenever it ends, until it is stopped.
+// process is one program on one machine. It is restarted whenever it ends, until it is stopped. Its methods may be called from
+// any goroutine.
 type process struct {
 	deployment *deployment
 	machine    *machine
@@ -27,8 +28,8 @@
 	log        *os.File
 
 	mu             sync.Mutex
-	command        *exec.Cmd
-	restart        bool
+	command        *exec.Cmd     // of the present incarnation; after startProcess only supervise replaces it
+	restart        bool          // it is restarted when it ends
 	endExpected    bool          // a signal was sent that ends it
 	done           chan struct{} // closed when it will not be restarted
 	starts         int
@@ -71,7 +72,7 @@
 	p.command = exec.Command(p.path)
 	p.command.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), settingsVariable + "=" + file}
 	p.command.Stdout, p.command.Stderr = p.log, p.log
-	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no program outlives the emulator
 	p.starts++
 	p.endExpected = false
 	return p.command.Start()
@@ -82,6 +83,7 @@
 	defer close(p.done)
 	defer p.log.Close()
 	for {
+		// Only this goroutine replaces the command, so it may read it without the lock.
 		p.command.Wait() //nolint:errcheck // how it ended does not matter: it is started again
 		p.mu.Lock()
 		wanted := p.restart
--- a/internal/system/emulator/report.go
+++ b/internal/system/emulator/report.go
@@ -42,7 +42,7 @@
 	return len(r.Breaches) > 0
 }
 
-// Limits of requests that may be denied: maxDenied, and one in deniedDivisor calls.
+// Limits of requests that may be denied: maxDenied in all, and beyond these one in deniedDivisor calls.
 const (
 	maxDenied     = 5
 	deniedDivisor = 500
--- a/internal/system/emulator/settings.go
+++ b/internal/system/emulator/settings.go
@@ -10,7 +10,8 @@
 	"cinderroad/internal/testkit/engine"
 )
 
-// settings is the settings file of a process, in the form that package processconfig reads.
+// settings is the settings file of a process, in the form that package processconfig reads. The types there say what the
+// fields mean that a process reads; the others are in the files of a platform, too, and have no effect.
 type settings struct {
 	Node         string            `json:"node"`
 	Role         string            `json:"role"`
@@ -51,6 +52,7 @@
 	RegionLosses  int `json:"region_losses"`
 }
 
+// timing holds times and rates that the programs and the checks of an emulation have in common.
 type timing struct {
 	SeedLagS       int     `json:"seed_lag_s"`
 	ReuseAfterS    int     `json:"reuse_after_s"`
@@ -121,11 +123,15 @@
 // Limits of the emulated platform.
 const (
 	platformCallsPerSecond = 42
-	platformLagMS          = 800
-	platformPageSize       = 50
-	ramMB                  = 284
-	openFiles              = 4096
-	diskMB                 = 128
+	platformLagMS          = 800 // until its list shows a change
+	platformPageSize       = 50  // entries
+)
+
+// Limits of a process. A proxy sizes its memory and its connections by them; nothing on the machine enforces them.
+const (
+	ramMB     = 284
+	openFiles = 4096
+	diskMB    = 128
 )
 
 // settingsOf returns the settings of a process on a machine.
