--- a/internal/dispatcher/cluster/cluster.go
+++ b/internal/dispatcher/cluster/cluster.go
@@ -32,10 +32,10 @@
 	socket          *eventloop.UDPSocket
 	timer           *eventloop.Timer
 	share           quota.Share
-	shareAt         float64 // time of the last updateShare
-	recognized      bool    // by the node, at shareAt
-	waiting         bool    // the socket is not open: the address is in use, or the name was yielded
-	closed          bool
+	shareAt         float64             // time of the last updateShare
+	recognized      bool                // by the node, at shareAt
+	waiting         bool                // the socket is not open: the address is in use, or the name was yielded
+	closed          bool                // by Release; the Cluster does nothing any more
 	loggedDrops     [dropReasons]uint64 // value of Drops that was last logged
 	dropsLoggedAt   float64
 	lastConvergence float64 // seconds that the last convergence took
@@ -51,6 +51,9 @@
 	return cluster
 }
 
+// generationsPerSecond makes a generation the start in microseconds of Unix time: a later start has a higher generation.
+const generationsPerSecond = 1e6
+
 // startNode starts a new generation of the node.
 func (c *Cluster) startNode() {
 	options := &c.options
@@ -61,7 +64,7 @@
 		Seeds:         options.Seeds,
 		ProbeInterval: options.ProbeInterval,
 		DeadTTL:       options.DeadTTL,
-		Generation:    uint64(c.loop.Now() * 1e6),
+		Generation:    uint64(c.loop.Now() * generationsPerSecond),
 		RandomSeed:    options.RandomSeed,
 		Metadata:      options.Metadata,
 		Delegate:      options.Versions,
@@ -95,7 +98,8 @@
 // Contacted reports whether a message of another member has come.
 func (c *Cluster) Contacted() bool { return c.node.Contacted() }
 
-// SetMetadata sets what this member publishes, except for the lease.
+// SetMetadata sets what this member publishes, except for the lease, which the Cluster fills in. Others learn of it with the
+// next messages.
 func (c *Cluster) SetMetadata(metadata membership.Metadata) {
 	metadata.Lease = c.options.Versions.Lease.State()
 	c.options.Metadata = metadata
--- a/internal/dispatcher/cluster/jobreplica/fragmenter.go
+++ b/internal/dispatcher/cluster/jobreplica/fragmenter.go
@@ -176,11 +176,7 @@
 	partial.bytes += len(received.Data)
 	f.partialBytes += len(received.Data)
 	if partial.missing > 0 {
-		for len(f.partials[received.From]) > maxPartialsPerSender || f.partialBytes > f.maxBytes && f.dropOldest(received.From) {
-			if len(f.partials[received.From]) > maxPartialsPerSender {
-				f.dropOldest(received.From)
-			}
-		}
+		f.dropExcess(received.From)
 		return nil
 	}
 	var message []byte
@@ -191,6 +187,21 @@
 	return message
 }
 
+// exceedsBounds reports whether there are too many incomplete messages of a sender, or too many bytes of all.
+func (f *Fragmenter) exceedsBounds(from uint64) bool {
+	return len(f.partials[from]) > maxPartialsPerSender || f.partialBytes > f.maxBytes
+}
+
+// dropExcess drops the oldest incomplete messages of a sender until the bounds are kept or none of that sender is left:
+// those of others stay.
+func (f *Fragmenter) dropExcess(from uint64) {
+	for f.exceedsBounds(from) {
+		if !f.dropOldest(from) {
+			return
+		}
+	}
+}
+
 // PartialBytes returns the bytes of incomplete messages.
 func (f *Fragmenter) PartialBytes() int { return f.partialBytes }
 
--- a/internal/dispatcher/cluster/jobstate/query.go
+++ b/internal/dispatcher/cluster/jobstate/query.go
@@ -15,7 +15,10 @@
 func (s *State) FindByKey(tenant, key string) *Job { return s.jobs[s.idsByKey[tenantKey(tenant, key)]] }
 
 // Excluded reports whether an operator has excluded the worker.
-func (s *State) Excluded(worker string) bool { _, excluded := s.exclusions[worker]; return excluded }
+func (s *State) Excluded(worker string) bool {
+	_, excluded := s.exclusions[worker]
+	return excluded
+}
 
 // Waiting returns the jobs to be sent, in the order in which to send them: by priority, then by age.
 func (s *State) Waiting() (jobs []*Job) {
--- a/internal/dispatcher/cluster/options.go
+++ b/internal/dispatcher/cluster/options.go
@@ -22,11 +22,11 @@
 	Metadata      membership.Metadata
 	Quota         quota.Config
 	Versions      *versions.Table            // not nil
-	OnLease       func(out bool, why string) // called when this dispatcher must stop taking new work, or may again
+	OnLease       func(out bool, why string) // called when this dispatcher must stop taking new work, or may again; not nil
 	OnConverged   func(Convergence)          // called when the view has converged; not nil
 
-	// OnPause is called after a pause of the process, before anything else in that turn of the loop, with the seconds that
-	// the turn is late; nil: not.
+	// OnPause is called after a pause of the process, before anything else in that iteration of the loop, with the seconds
+	// that the iteration is late; nil: not.
 	OnPause func(late float64)
 }
 
--- a/internal/dispatcher/cluster/quota/calculator.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -75,7 +75,7 @@
 		s.Reason == other.Reason && slices.Equal(s.Keys, other.Keys)
 }
 
-// Calculator computes shares. It remembers which dead members are no longer counted.
+// Calculator computes shares. It remembers which dead members are no longer counted. It is not safe for concurrent use.
 type Calculator struct {
 	Config        Config
 	removed       map[string]uint64 // generation of each dead member that is no longer counted, by name
@@ -132,6 +132,7 @@
 		return configured
 	}
 	if share.Fraction < 1 { // there may be as many unknown members as are configured
+		// The zero byte keeps their keys apart from those of real names.
 		for i := share.Instances; i < c.Config.Instances; i++ {
 			share.Keys = append(share.Keys, membership.Key("\x00"+strconv.Itoa(i)))
 		}
--- a/internal/dispatcher/cluster/transport.go
+++ b/internal/dispatcher/cluster/transport.go
@@ -15,8 +15,8 @@
 const (
 	bindRetryInterval = 0.1  // seconds between attempts to open an address that the previous process still has
 	dropsLogInterval  = 60.0 // seconds between log lines about dropped datagrams
-	minPauseSeconds   = 0.5  // least seconds that a turn of the loop is late to count as a pause
-	minPauseProbes    = 2.0  // and probe intervals
+	minPauseSeconds   = 0.5  // least seconds that an iteration of the loop is late to count as a pause
+	minPauseProbes    = 2.0  // and probe intervals, whichever is longer
 )
 
 // Reasons for which datagrams are dropped.
@@ -96,7 +96,7 @@
 	}
 }
 
-// handlePause is called by the loop before anything else in a turn that comes late.
+// handlePause is called by the loop before anything else in an iteration that comes late.
 func (c *Cluster) handlePause(late float64) {
 	if c.closed || c.waiting {
 		return
@@ -110,7 +110,8 @@
 	c.scheduleTick()
 }
 
-// flush sends the node's packets, logs its changes, and updates the share if need be.
+// flush sends the node's packets, logs its changes, and updates the share if need be. The socket must be open. Call it after
+// each call that makes the node act.
 func (c *Cluster) flush() {
 	for _, packet := range c.node.TakePackets() {
 		datagram, err := membership.Encode(packet.Message)
--- a/internal/dispatcher/cluster/versions/event.go
+++ b/internal/dispatcher/cluster/versions/event.go
@@ -17,12 +17,13 @@
 
 // Event is something that a Table learned, for the audit log.
 type Event struct {
-	Kind                 EventKind
-	From                 string // the member that sent it; empty: the own discovery
-	Version              Version
-	Cached               bool
-	Facts                []Fact
-	SilentFor, PeerClock float64 // seconds; Unix time
+	Kind      EventKind
+	From      string // the member that sent it; empty: the own discovery
+	Version   Version
+	Cached    bool // of ListApplied: the list was read from disk
+	Facts     []Fact
+	SilentFor float64 // of DiscoverySilent, in seconds
+	PeerClock float64 // of ClockReceived, in seconds of Unix time
 }
 
 const (
--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -70,7 +70,7 @@
 	}
 	t.updatePeer(now, from, msg)
 	replies = t.handleOrders(now, msg)
-	t.epochs[msg.Version.Source] = max(t.epochs[msg.Version.Source], min(msg.Version.Epoch, t.epochs[msg.Version.Source]+1))
+	t.recordEpoch(msg.Version)
 	t.adoptEpoch(now, msg)
 	if _, ok := t.version.Lag(msg.Version); !t.hasVersion || !ok {
 		return replies
@@ -170,6 +170,13 @@
 	return t.repliesInWindow <= maxRepliesPerWindow
 }
 
+// recordEpoch records the latest epoch of a source. A payload raises it by one at most, so that a wrong one cannot exhaust
+// the numbers.
+func (t *Table) recordEpoch(version Version) {
+	latest := t.epochs[version.Source]
+	t.epochs[version.Source] = max(latest, min(version.Epoch, latest+1))
+}
+
 // epochAge returns the seconds since the own epoch began, 0 if that is not known.
 func (t *Table) epochAge(now float64) float32 {
 	if t.epochStart == 0 {
@@ -178,12 +185,16 @@
 	return float32(now - t.epochStart)
 }
 
+// epochStartMargin is the seconds that the own source must have sent its first list after an epoch began for the list to be
+// certainly of that epoch.
+const epochStartMargin = 1
+
 // adoptEpoch adopts the cluster's number of an epoch that began before the own source first sent a list: then the own
 // list is of that epoch, although this member did not see it begin.
 func (t *Table) adoptEpoch(now float64, msg *payload) {
 	began := now - float64(msg.EpochAge)
 	if t.hasVersion && msg.Version.Source == t.version.Source && msg.Version.Epoch > t.version.Epoch &&
-		t.firstLiveAt > began+1 && msg.EpochAge > 0 {
+		t.firstLiveAt > began+epochStartMargin && msg.EpochAge > 0 {
 		t.version.Epoch = msg.Version.Epoch
 		t.epochStart = began
 		t.epochs[t.version.Source] = max(t.epochs[t.version.Source], t.version.Epoch)
@@ -215,7 +226,8 @@
 	}
 }
 
-// acceptFact stores a peer's fact that is newer than what is known. It reports whether it did.
+// acceptFact stores a peer's fact that is newer than what is known. Of two of one revision the more restrictive counts. It
+// reports whether it stored the fact.
 func (t *Table) acceptFact(now float64, from string, f Fact) bool {
 	if f.Revision <= t.version.Revision { // the own list is as new
 		t.refute(now, f)
--- a/internal/dispatcher/cluster/versions/lease.go
+++ b/internal/dispatcher/cluster/versions/lease.go
@@ -42,11 +42,12 @@
 	return t.Lease.Update(&in) != before || t.Lease.Reason != reason
 }
 
-// IssueOrder issues an order at this member: out excludes the member, else it is readmitted. At most a third of the
-// members may be out.
+// IssueOrder issues an order at this member: out excludes the named member, else it is readmitted. It returns an error, and
+// issues nothing, if no member has the name, if more than a third of the members would be out, or if there is no room for
+// another order. An order that is in force already changes nothing.
 func (t *Table) IssueOrder(now float64, view *membership.View, member string, out bool) error {
-	known := 0
-	shut := 1
+	known := 0    // members that have not left
+	outAfter := 1 // members that are out once the order is in force, the one that it names included
 	found := false
 	for i := range view.Members {
 		s := &view.Members[i]
@@ -57,14 +58,14 @@
 		if s.Name == member {
 			found = true
 		} else if t.Excluded(s.Name) || s.OutOfService() || s.State == membership.Dead {
-			shut++
+			outAfter++
 		}
 	}
-	switch quota := lease.MaxOut(known); {
+	switch maxOut := lease.MaxOut(known); {
 	case out && !found:
 		return fmt.Errorf("versions: no member has the name %s", member)
-	case out && shut > quota:
-		return fmt.Errorf("versions: %d of %d members would be shut out; %d at most", shut, known, quota)
+	case out && outAfter > maxOut:
+		return fmt.Errorf("versions: %d of %d members would be shut out; %d at most", outAfter, known, maxOut)
 	}
 	return t.addOrder(now, member, out)
 }
--- a/internal/dispatcher/cluster/versions/orders.go
+++ b/internal/dispatcher/cluster/versions/orders.go
@@ -35,6 +35,7 @@
 	return cmp.Or(cmp.Compare(o.Number, other.Number), compareBool(o.Out, other.Out), cmp.Compare(o.By, other.By))
 }
 
+// compareBool orders false before true.
 func compareBool(x, y bool) int {
 	switch {
 	case x == y:
@@ -66,7 +67,7 @@
 // orders are all orders known.
 type orders struct {
 	byMember    map[string]*order
-	digest      uint64  // of all orders
+	digest      uint64  // of all orders; equal at members that have the same ones
 	lastReplyAt float64 // time of the last reply to a member that has other orders
 	cursor      int     // position at which the next page starts
 }
@@ -114,16 +115,22 @@
 		return false
 	}
 	t.orders.byMember[o.Member] = &order{Order: o}
-	t.orders.digest = 0
-	for _, name := range slices.Sorted(maps.Keys(t.orders.byMember)) {
-		p := t.orders.byMember[name]
-		t.orders.digest = xxhash.Sum64String(fmt.Sprint(t.orders.digest, p.Member, p.Out, p.Number, p.By))
-	}
+	t.orders.digest = t.orders.computeDigest()
 	t.Log(fmt.Sprintf("received order %d issued by %s: %s", o.Number, o.By, o.String()))
 	t.OnOrder(o)
 	return true
 }
 
+// computeDigest returns the digest of all orders. Members compare it with that of others (payload.OrdersDigest), so the text
+// that is hashed must stay the same in all releases.
+func (o *orders) computeDigest() (digest uint64) {
+	for _, name := range slices.Sorted(maps.Keys(o.byMember)) {
+		p := o.byMember[name]
+		digest = xxhash.Sum64String(fmt.Sprint(digest, p.Member, p.Out, p.Number, p.By))
+	}
+	return digest
+}
+
 // String describes the order.
 func (o *Order) String() string {
 	if o.Out {
--- a/internal/dispatcher/cluster/versions/payload.go
+++ b/internal/dispatcher/cluster/versions/payload.go
@@ -17,7 +17,7 @@
 	Facts        []Fact  `cbor:"3,keyasint,omitempty"`
 	CompleteUpTo int64   `cbor:"4,keyasint,omitempty"` // newest revision of which the sender knows all facts
 	EpochAge     float32 `cbor:"6,keyasint,omitempty"` // seconds since the epoch began; 0: not known
-	FactCount    int     `cbor:"5,keyasint,omitempty"` // of a reply: number of facts in all its pages, plus one
+	FactCount    int     `cbor:"5,keyasint,omitempty"` // of a reply: number of facts in all its pages, plus one; 0: no reply
 
 	UpdateStamp  uint64  `cbor:"7,keyasint,omitempty"` // stamp of the newest update of discovery, in tenths of a second of Unix time
 	DirectUpdate bool    `cbor:"8,keyasint,omitempty"` // the update came from the sender's own discovery
--- a/internal/dispatcher/cluster/versions/table.go
+++ b/internal/dispatcher/cluster/versions/table.go
@@ -17,8 +17,8 @@
 }
 
 // Lag returns by how many revisions a version is behind another one. ok is false if they do not compare.
-func (l Version) Lag(other Version) (by int64, ok bool) {
-	return other.Revision - l.Revision, l.Source == other.Source && l.Epoch == other.Epoch
+func (v Version) Lag(other Version) (by int64, ok bool) {
+	return other.Revision - v.Revision, v.Source == other.Source && v.Epoch == other.Epoch
 }
 
 // Peer is what another member has, by its payloads. Times are on this member's clock.
@@ -49,7 +49,7 @@
 	sameZoneGrace       = 1.0  // seconds for which it waits for a member of its own zone that knows more
 	replyWindow         = 1.0  // seconds in which maxRepliesPerWindow requests are answered; whoever gets no reply asks another member
 	maxRepliesPerWindow = 8
-	expiredAge          = 1e6  // seconds by which ExpireUpdates dates the last update back
+	expiredAge          = 1e6  // seconds by which ExpireUpdates dates the last update back: longer than any lease
 	discoveryTimeout    = 5.0  // seconds without contact after which discovery counts as silent
 	confirmTimeout      = 30.0 // seconds for which a live discovery may lag behind a peer's fact before the fact is doubted
 	factTTL             = 3600 // seconds
@@ -79,12 +79,12 @@
 	cached             bool    // the own list was read from disk: discovery has not sent it since the start
 	firstLiveAt        float64 // time when the own source first sent a list since the start
 	epochStart         float64 // time when the epoch began; 0: not known
-	caughtUpAt         float64
-	caughtUpTo         int64   // revision up to which a peer has sent all facts that it knows
+	caughtUpTo         int64   // revision up to which a peer has sent all facts that it knows; 0: none
+	caughtUpAt         float64 // time when it had
 	lastDiscovery      float64 // time of the last contact with the own discovery
 	discoveryLiveSince float64 // time since when the contact has had no gap of discoveryTimeout
 	replyCursor        int     // position at which the next reply starts
-	pendingFacts       int     // facts that are still to be transmitted without a request, or more
+	pendingFacts       int     // at least the facts that are still to be transmitted without a request; Payload counts them anew
 	lastConfirmed      float64 // time when an update of discovery last confirmed all that is known here
 	updateStamp        uint64  // stamp of the newest update known
 	directUpdate       bool    // the own discovery confirms all that is known here
--- a/internal/shared/httpwire/request.go
+++ b/internal/shared/httpwire/request.go
@@ -11,7 +11,7 @@
 	Method, Target, Version string
 	Header                  Header
 	Body                    Framing
-	Close                   bool // the client closes the connection after the response
+	Close                   bool // the connection is to be closed after the response
 	ExpectsContinue         bool // the client waits for a 100 response before it sends the body
 }
 
--- a/internal/shared/lease/lease.go
+++ b/internal/shared/lease/lease.go
@@ -39,7 +39,9 @@
 	watchTimeoutMultiple    = 3.0  // terms last at least so many timeouts of the watch of discovery
 	probeMultiple           = 20.0 // and so many probe intervals: an update reaches all members in a few, also under loss
 	lapsedWaitProbes        = 6.0  // probe intervals that a lapsed member waits to learn of the others that are lapsed
+	isolationProbes         = 2.0  // probe intervals within which the loss of discovery and of all peers counts as one event
 	discoveryUpdateInterval = 6.0  // seconds within which a working discovery sends an update
+	watchMargin             = 1.0  // seconds by which the shortest term is longer than the timeout of the watch
 	minFreshMembers         = 2    // members that must have a fresh update: one alone may be wrong
 )
 
@@ -52,7 +54,7 @@
 // MinTerm returns the shortest allowed term in seconds, from the arguments of Term. It must outlast the pauses of
 // discovery and the time that an update takes to all members.
 func MinTerm(watchTimeout, probeInterval float64) float64 {
-	return math.Max(watchTimeout+1, probeMultiple*probeInterval)
+	return math.Max(watchTimeout+watchMargin, probeMultiple*probeInterval)
 }
 
 // Member is a member as this one knows it. Times are on this member's clock, in seconds.
@@ -78,7 +80,8 @@
 	Others        []Member // all other members that may be sending
 }
 
-// Lease is one member's lease. The zero state is Held.
+// Lease is one member's lease. The zero state is Held. ProbeInterval and Term must be set before Update. A Lease is not safe
+// for concurrent use.
 type Lease struct {
 	ProbeInterval float64 // of the membership, in seconds
 	Term          float64 // seconds; see Term and MinTerm
@@ -124,7 +127,7 @@
 		lastContact = math.Max(lastContact, m.LastContact)
 		if m.LastContact > 0 && input.Now <= m.LastContact+term {
 			connected++
-			if m.State == Held && m.UpdateLead > term/2 {
+			if m.State == Held && m.UpdateLead > term/2 { // a smaller lead may be due to clocks, or to the time that updates take
 				fresher++
 			}
 		}
@@ -170,7 +173,8 @@
 	// The share of the sample without discovery is taken for that of all others, rounded up.
 	unreachable := dead + (withoutDiscovery*(len(input.Others)-dead)+sampled-1)/sampled
 	members := 1 + len(input.Others)
-	lostDiscoveryFirst := input.LastDiscovery < lastContact-2*l.ProbeInterval // the others saw it
+	// If discovery was lost some probe intervals before the peers, their last messages already told whether they had it.
+	lostDiscoveryFirst := input.LastDiscovery < lastContact-isolationProbes*l.ProbeInterval
 	switch {
 	case withoutDiscovery == sampled:
 		return Held, "cut off, and the others had no discovery either"
--- a/internal/shared/slotmap/slotmap.go
+++ b/internal/shared/slotmap/slotmap.go
@@ -1,10 +1,20 @@
 // Package slotmap stores values in numbered slots that are reused. A handle consists of the slot's number and a
-// generation, so that a handle of a removed value never finds the one that took its slot.
+// generation, so that a handle of a removed value does not find the one that took its slot, until the slot has been reused
+// 2^31 times.
 package slotmap
 
-// Handle identifies a value until it is removed; 0 identifies none.
+// Handle identifies a value until it is removed; 0 identifies none. The upper 32 bits are the generation of the slot, which
+// is odd while the slot is in use, and the lower ones its index.
 type Handle uint64
 
+func newHandle(generation, index uint32) Handle {
+	return Handle(uint64(generation)<<32 | uint64(index))
+}
+
+func (h Handle) index() uint32 { return uint32(h) }
+
+func (h Handle) generation() uint32 { return uint32(h >> 32) }
+
 // Map holds values in slots. The zero value is empty and ready to use. It is not safe for concurrent use.
 type Map[T any] struct {
 	slots []slot[T]
@@ -13,10 +23,12 @@
 }
 
 type slot[T any] struct {
-	generation uint32 // odd while the slot is in use
+	generation uint32 // see Handle
 	value      T
 }
 
+func (s *slot[T]) inUse() bool { return s.generation&1 == 1 }
+
 // Insert stores a value in a free slot.
 func (m *Map[T]) Insert(value T) Handle {
 	var index uint32
@@ -31,15 +43,18 @@
 	s.generation++
 	s.value = value
 	m.count++
-	return Handle(uint64(s.generation)<<32 | uint64(index))
+	return newHandle(s.generation, index)
 }
 
 func (m *Map[T]) lookup(handle Handle) *slot[T] {
-	index, generation := uint32(handle), uint32(handle>>32)
-	if int(index) >= len(m.slots) || m.slots[index].generation != generation || generation&1 == 0 {
+	if int(handle.index()) >= len(m.slots) {
+		return nil
+	}
+	s := &m.slots[handle.index()]
+	if s.generation != handle.generation() || !s.inUse() {
 		return nil
 	}
-	return &m.slots[index]
+	return s
 }
 
 // Get returns the value of a handle; ok is false if it was removed.
@@ -59,7 +74,7 @@
 	var zero T
 	s.generation++
 	s.value = zero
-	m.free = append(m.free, uint32(handle))
+	m.free = append(m.free, handle.index())
 	m.count--
 	return true
 }
@@ -67,11 +82,12 @@
 // Len returns the number of values.
 func (m *Map[T]) Len() int { return m.count }
 
-// Each calls visit for every value; visit may remove the value it is given.
+// Each calls visit for every value, in the order of the slots; visit may remove the value it is given. Whether a value is
+// visited that visit itself inserts is not defined.
 func (m *Map[T]) Each(visit func(Handle, T)) {
 	for i := range m.slots {
-		if s := &m.slots[i]; s.generation&1 == 1 {
-			visit(Handle(uint64(s.generation)<<32|uint64(i)), s.value)
+		if s := &m.slots[i]; s.inUse() {
+			visit(newHandle(s.generation, uint32(i)), s.value)
 		}
 	}
 }
