--- a/grpcbalancer/backend.go
+++ b/grpcbalancer/backend.go
@@ -59,7 +59,7 @@
 func (b *backend) Cancel(id dispatch.AttemptID) bool {
 	attempt := b.attempts[id]
 	if attempt == nil {
-		return true
+		return true // it has ended, and the core has not handled its outcome yet: the safe answer
 	}
 	delete(b.attempts, id)
 	attempt.cancel()
@@ -161,8 +161,11 @@
 	return loadbalancer.OK
 }
 
-// parseReport returns a load report in the order of Settings.ReportFields; nil if there is none. A value of -1
-// means that the server did not report the field.
+// notReported stands in a load report for a field that the server left out.
+const notReported = -1
+
+// parseReport returns a load report in the order of Settings.ReportFields; nil if there is none. Fields that the
+// server left out are notReported.
 func (d *Dispatcher) parseReport(trailer metadata.MD) []float32 {
 	var named map[string]float64
 	if texts := trailer.Get(LoadTrailer); len(texts) != 1 || json.Unmarshal([]byte(texts[0]), &named) != nil {
@@ -173,7 +176,7 @@
 		if value, ok := named[name]; ok {
 			values[i] = float32(value)
 		} else {
-			values[i] = -1
+			values[i] = notReported
 		}
 	}
 	return values
--- a/grpcbalancer/clock.go
+++ b/grpcbalancer/clock.go
@@ -27,7 +27,7 @@
 func (d *Dispatcher) At(at float64, do func()) dispatch.Timer {
 	t := &timer{dispatcher: d}
 	if d.closed {
-		t.timer = time.NewTimer(time.Hour)
+		t.timer = time.NewTimer(time.Hour) // stopped at once: Stop needs a timer, and this one never fires
 		t.timer.Stop()
 		return t
 	}
--- a/grpcbalancer/dispatcher.go
+++ b/grpcbalancer/dispatcher.go
@@ -113,23 +113,27 @@
 	return counts
 }
 
-// Exclude takes a server out of use by its address, whatever the resolver says, until Include. It returns false if no server
-// has the address.
-func (d *Dispatcher) Exclude(address string) (known bool) { return d.exclude(d.core.Exclude, address) }
+// Exclude takes a server out of use by its address, whatever the resolver says, until Include. It returns false, and changes
+// nothing, if no server has the address or too many servers are excluded.
+func (d *Dispatcher) Exclude(address string) (applied bool) {
+	return d.applyExclusion(d.core.Exclude, address)
+}
 
 // Include returns a server to use, in slow start, since it was probably restarted. It returns false if no server has the address.
-func (d *Dispatcher) Include(address string) (known bool) { return d.exclude(d.core.Include, address) }
+func (d *Dispatcher) Include(address string) (applied bool) {
+	return d.applyExclusion(d.core.Include, address)
+}
 
-// exclude applies Exclude or Include of the core.
-func (d *Dispatcher) exclude(operation func(string) dispatch.ExclusionChange, address string) (known bool) {
+// applyExclusion applies the change that operation, the core's Exclude or Include, returns for an address.
+func (d *Dispatcher) applyExclusion(operation func(string) dispatch.ExclusionChange, address string) (applied bool) {
 	d.withLock(func() {
 		change := operation(address)
-		known = change.Known && !change.LimitReached
-		if known {
+		applied = change.Known && !change.LimitReached
+		if applied {
 			d.core.ApplyExclusions(change.Exclusions)
 		}
 	})
-	return known
+	return applied
 }
 
 // withLock calls do with the lock held.
--- a/grpcbalancer/interceptor.go
+++ b/grpcbalancer/interceptor.go
@@ -18,17 +18,19 @@
 
 // unaryCall is a call between intercept and its answer. It is the payload of the core's job.
 type unaryCall struct {
-	ctx         context.Context
-	method      string
-	request     any
-	reply       reflect.Type // of the message, not of its pointer
-	conn        *grpc.ClientConn
-	invoke      grpc.UnaryInvoker
-	options     []grpc.CallOption
-	answer      chan dispatch.Answer // buffered: the core must not block on it
-	servedReply any                  // of the attempt that won
-	servedErr   error                // its status, as the server gave it
-	lastErr     error                // of the last attempt that failed
+	ctx     context.Context
+	method  string
+	request any
+	reply   reflect.Type // of the message, not of its pointer
+	conn    *grpc.ClientConn
+	invoke  grpc.UnaryInvoker
+	options []grpc.CallOption
+	answer  chan dispatch.Answer // buffered: the core must not block on it
+
+	// Written by attempts under the dispatcher's lock, also after the answer.
+	servedReply any   // of the attempt that won
+	servedErr   error // its status, as the server gave it
+	lastErr     error // of the last attempt that failed
 }
 
 // Answer implements dispatch.Requester; the lock is held.
--- a/internal/dispatcher/admission/limiter.go
+++ b/internal/dispatcher/admission/limiter.go
@@ -22,12 +22,12 @@
 
 // Shares of the socket limit and of the memory limit.
 const (
-	backendSocketShare = 0.3  // of the sockets, kept free for connections to backends
-	maxBackendSockets  = 96   // the most that are kept free for them
-	idleShare          = 0.25 // of the sockets, for sessions that have made a request; above it idle ones are closed
-	sourceSocketShare  = 0.5  // of the sockets, for one address; a proxy in front of many clients needs a third
-	memoryShare        = 0.12 // of the memory, for incomplete messages, and as much again for the bodies of open jobs
-	defaultMemoryMB    = 192  // where no memory limit is configured
+	reservedSocketShare = 0.3  // of the sockets, kept free for connections to backends
+	maxReservedSockets  = 96   // the most sockets that are kept free for them
+	idleShare           = 0.25 // of the sockets, for sessions that have made a request; above it idle ones are closed
+	sourceSocketShare   = 0.5  // of the sockets, for one address; a proxy in front of many clients needs a third
+	memoryShare         = 0.12 // of the memory, for incomplete messages, and as much again for the bodies of open jobs
+	defaultMemoryMB     = 192  // where no memory limit is configured
 )
 
 // Limiter holds the shared bounds.
@@ -64,8 +64,13 @@
 	l.Register(source)
 	limit := float64(l.loop.SocketLimit())
 	overSourceLimit := float64(l.bySource[source]) > limit*sourceSocketShare
-	if !overSourceLimit && float64(l.connections) <= limit-min(limit*backendSocketShare, maxBackendSockets) ||
-		evict(func(other netip.Addr) bool { return !overSourceLimit || other == source }) {
+	reserved := min(limit*reservedSocketShare, maxReservedSockets)
+	overTotalLimit := float64(l.connections) > limit-reserved
+	if !overSourceLimit && !overTotalLimit {
+		return true
+	}
+	// A source over its own limit makes room by a connection of its own only.
+	if evict(func(other netip.Addr) bool { return !overSourceLimit || other == source }) {
 		return true
 	}
 	l.Rejected++
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -29,7 +29,8 @@
 	// Start starts an attempt. The backend must call ConfirmSend just before the first byte goes out, and HandleOutcome
 	// once, unless Cancel is called first.
 	Start(a Attempt)
-	// Cancel gives an attempt up; nothing more may be reported of it. It returns whether the worker may have run it.
+	// Cancel gives an attempt up; nothing more may be reported of it. It returns whether the worker may have run it, and
+	// true, the safe answer, for an attempt that the backend does not know any more.
 	Cancel(id AttemptID) (mayHaveRun bool)
 	// ResetConnections closes idle connections, and busy ones once they are free: the worker's process was replaced.
 	ResetConnections()
@@ -55,7 +56,8 @@
 }
 
 // ConfirmSend reports whether an attempt whose first byte has not gone out may still be sent: its request must be open,
-// its deadline ahead, and its member ready. If not, result is what the backend must report as its outcome.
+// its deadline ahead, and its member ready. If not, result is what the backend must report as its outcome: Withdrawn if
+// nobody wants the attempt any more, ConnectFailed if only this member may not get it, so that the balancer may retry.
 func (d *Dispatcher) ConfirmSend(id AttemptID) (result loadbalancer.Result, confirmed bool) {
 	attempt, ok := d.attempts.Get(slotmap.Handle(id))
 	switch {
@@ -119,7 +121,7 @@
 		request.invalidVotes++
 		if request.invalidVotes > 1 && !request.answered {
 			d.counts.InvalidJobs++
-			d.answer(request, Answer{Verdict: Failed}, ReasonInvalidJob, -1)
+			d.answer(request, Answer{Verdict: Failed}, ReasonInvalidJob, noAttempt)
 		}
 	}
 	if d.Observer != nil {
--- a/internal/dispatcher/dispatch/dispatcher.go
+++ b/internal/dispatcher/dispatch/dispatcher.go
@@ -60,8 +60,8 @@
 	paused       bool                             // no member gets new attempts
 	readyMembers int                              // members that the balancer sees as ready
 
-	events        []func() // wait for the event at hand
-	handlingEvent bool
+	events        []func() // in order of arrival; they run once the event at hand has ended
+	handlingEvent bool     // handle is running an event
 	counts        Counts
 	answerRecord  AnswerRecord // reused for each call of the Observer
 }
@@ -96,7 +96,8 @@
 	return counts
 }
 
-// handle runs an event once all earlier ones are done: the balancer handles one at a time.
+// handle runs an event once all earlier ones are done: the balancer handles one at a time. It returns after the event has
+// run, unless it is called from within another event: then it returns at once, and the event runs after that one.
 func (d *Dispatcher) handle(event func()) {
 	d.events = append(d.events, event)
 	if d.handlingEvent {
@@ -115,15 +116,15 @@
 // Snapshot returns what the balancer has learnt, for the process that replaces this one.
 func (d *Dispatcher) Snapshot() loadbalancer.Snapshot { return d.balancer.Snapshot() }
 
-// Restore takes over the snapshot of another process. It must be called before the first member list. On an error
-// nothing has changed.
+// Restore takes over the snapshot of another process. It must be called before the first member list, and not from
+// within an event, where its error would be lost. On an error nothing has changed.
 func (d *Dispatcher) Restore(snapshot loadbalancer.Snapshot) (err error) {
 	d.handle(func() { err = d.balancer.Restore(d.clock.Now(), snapshot) })
 	return err
 }
 
-// SetInstanceShare sets this instance's share of the workers' capacity among the dispatchers that use them. On an error
-// nothing has changed.
+// SetInstanceShare sets this instance's share of the workers' capacity among the dispatchers that use them. It
+// must not be called from within an event, where its error would be lost. On an error nothing has changed.
 func (d *Dispatcher) SetInstanceShare(share loadbalancer.InstanceShare) (err error) {
 	d.handle(func() { err = d.balancer.SetInstanceShare(share) })
 	return err
--- a/internal/dispatcher/dispatch/exclusion.go
+++ b/internal/dispatcher/dispatch/exclusion.go
@@ -43,7 +43,7 @@
 	id, known := d.workerIDs[name]
 	change := ExclusionChange{Known: known || found, Exclusions: maps.Clone(d.exclusions)}
 	switch {
-	case !change.Known || found && current.IncludedAt == 0:
+	case !change.Known || found && current.IncludedAt == 0: // unknown, or excluded already: nothing to change
 	case len(d.exclusions) >= maxExclusions:
 		change.LimitReached = true
 	default:
@@ -68,7 +68,8 @@
 	return change
 }
 
-// ApplyExclusions replaces the exclusions. The balancer sees the change before anything else is sent.
+// ApplyExclusions replaces the exclusions, such as by those of an ExclusionChange once they are stored. The balancer sees
+// the change before anything else is sent.
 func (d *Dispatcher) ApplyExclusions(exclusions map[string]Exclusion) {
 	d.handle(func() {
 		old := d.exclusions
--- a/internal/dispatcher/dispatch/members.go
+++ b/internal/dispatcher/dispatch/members.go
@@ -32,7 +32,8 @@
 }
 
 // WorkerID returns the ID of the worker of a name. It is a hash of the name, since dispatchers that share no state must
-// agree on the order in which workers start up.
+// agree on the order in which workers start up. A new name reserves its ID by a Member without a backend, which the next
+// list that names the worker fills in.
 func (d *Dispatcher) WorkerID(name string) loadbalancer.WorkerID {
 	if id, ok := d.workerIDs[name]; ok {
 		return id
@@ -67,7 +68,8 @@
 	})
 }
 
-// markUnlisted marks the members that a complete list does not name as departed.
+// markUnlisted marks the members that a complete list does not name as departed. The listed state of the others is set by
+// updateMember, which must follow for each of them.
 func (d *Dispatcher) markUnlisted(members []Member) {
 	listed := make(map[loadbalancer.WorkerID]bool, len(members))
 	for i := range members {
@@ -172,6 +174,9 @@
 	}
 }
 
+// slowStartMargin is for how many seconds after its slow start a member keeps the time of its inclusion as its start time.
+const slowStartMargin = 1
+
 // applyOverrides sets the worker that the balancer sees of a member. An excluded member drains and keeps its start time,
 // so that the start time it is included with is new to the balancer: its own if it has been listed since, else the time
 // of the inclusion.
@@ -186,7 +191,7 @@
 		if member.State == loadbalancer.Ready {
 			member.State = loadbalancer.Draining
 		}
-	case member.StartedAt >= exclusion.ExcludedAt || d.clock.Now() > exclusion.IncludedAt+d.settings.SlowStartDuration+1:
+	case member.StartedAt >= exclusion.ExcludedAt || d.clock.Now() > exclusion.IncludedAt+d.settings.SlowStartDuration+slowStartMargin:
 		delete(d.exclusions, member.Name) // its new start is listed, or its slow start is over
 	default:
 		member.StartedAt = exclusion.IncludedAt
--- a/internal/dispatcher/dispatch/observer.go
+++ b/internal/dispatcher/dispatch/observer.go
@@ -25,7 +25,7 @@
 // AnswerRecord is the record of an answered request. Times are of the Dispatcher's Clock.
 type AnswerRecord struct {
 	ID, Front      string
-	Class          int // -1: a class without settings
+	Class          int // index into the settings' classes; -1: a class without settings
 	Verdict        Verdict
 	Reason         Reason
 	ArrivedAt      float64
@@ -73,7 +73,7 @@
 // RecordAnswer records a job that a front has answered itself, without submitting it.
 func (d *Dispatcher) RecordAnswer(job Job, verdict Verdict, reason Reason, retryAfter float64) {
 	now := d.clock.Now()
-	d.handle(func() { d.recordAnswer(&request{job: job, arrivedAt: now}, verdict, reason, retryAfter, -1) })
+	d.handle(func() { d.recordAnswer(&request{job: job, arrivedAt: now}, verdict, reason, retryAfter, noAttempt) })
 }
 
 func (d *Dispatcher) recordAnswer(request *request, verdict Verdict, reason Reason, retryAfter float64, winner int) {
@@ -95,8 +95,8 @@
 		Attempts:       record.Attempts[:0],
 	}
 	record.TargetAt = d.targetTime(&request.job, request.arrivedAt)
-	if record.Class < 0 || record.Class >= len(d.settings.Classes) {
-		record.Class = -1
+	if !d.hasClass(record.Class) {
+		record.Class = unknownClass
 	}
 	for _, attempt := range request.attempts {
 		record.Attempts = append(record.Attempts, attempt.record())
@@ -107,16 +107,23 @@
 	d.Observer.ObserveAnswer(record)
 }
 
+// unknownClass is the Class of the records of jobs whose class has no settings.
+const unknownClass = -1
+
+// hasClass reports whether the settings have a class of an index.
+func (d *Dispatcher) hasClass(class int) bool { return class >= 0 && class < len(d.settings.Classes) }
+
 // targetTime returns until when an answer meets the latency target of the job's class.
 func (d *Dispatcher) targetTime(job *Job, arrivedAt float64) float64 {
-	if job.Class < 0 || job.Class >= len(d.settings.Classes) {
+	if !d.hasClass(job.Class) {
 		return job.Deadline
 	}
 	class := &d.settings.Classes[job.Class]
 	return min(arrivedAt+class.Objective+class.Stretch*job.Work, job.Deadline)
 }
 
-// trackDrain records that a member is no longer ready.
+// trackDrain records that a member is no longer ready, and reports the drain after drainGrace, unless the member has begun
+// another one by then.
 func (d *Dispatcher) trackDrain(member *Member) {
 	now := d.clock.Now()
 	member.drainStart = now
--- a/internal/dispatcher/dispatch/reason.go
+++ b/internal/dispatcher/dispatch/reason.go
@@ -51,14 +51,21 @@
 // String returns the reason's name in metrics and logs; it is empty for ReasonNone.
 func (r Reason) String() string { return reasonNames[r] }
 
-// rejectionReason derives the reason of the balancer's own answer, which gives none.
-func (d *Dispatcher) rejectionReason(request *request) Reason {
-	if request.job.Class < 0 || request.job.Class >= len(d.settings.Classes) {
+// deadlineMarginTicks is how many of the settings' ticks before its deadline a request counts as too late. The balancer
+// gives a request up two ticks before its deadline, which must be within the margin.
+const deadlineMarginTicks = 3
+
+// reasonNotServed derives why the balancer rejected or failed a request, which it does not say: from the end of the last
+// attempt if there was one, otherwise from the state of the request and of the members.
+func (d *Dispatcher) reasonNotServed(request *request) Reason {
+	if !d.hasClass(request.job.Class) {
 		return ReasonUnknownClass
 	}
-	deadlinePassed := d.clock.Now() >= request.job.Deadline-3*max(d.settings.Tick, overdueGrace)
+	margin := deadlineMarginTicks * max(d.settings.Tick, overdueGrace)
+	deadlinePassed := d.clock.Now() >= request.job.Deadline-margin
 	if n := len(request.attempts); n > 0 && !(deadlinePassed && request.running > 0) {
-		if reason := attemptReasons[request.attempts[n-1].result]; reason != ReasonNone && request.attempts[n-1].ended {
+		last := request.attempts[n-1]
+		if reason := attemptReasons[last.result]; last.ended && reason != ReasonNone {
 			return reason
 		}
 	}
--- a/internal/dispatcher/dispatch/request.go
+++ b/internal/dispatcher/dispatch/request.go
@@ -74,6 +74,9 @@
 	arrivedAt     float64
 }
 
+// noAttempt stands for the index of the winning attempt of a request that no attempt served.
+const noAttempt = -1
+
 // overdueGrace is the time in seconds after a request's deadline at which the Dispatcher answers in place of the balancer.
 const overdueGrace = 0.005
 
@@ -104,7 +107,8 @@
 	return RequestID(request.handle)
 }
 
-// nextID returns an ID that no open request has. It is never 0, nor the token of the balancer's periodic timer.
+// nextID returns an ID that no open request has. It is never 0, nor the token of the balancer's periodic timer: the
+// balancer uses the IDs of requests as the tokens of their timers.
 func (d *Dispatcher) nextID() loadbalancer.RequestID {
 	const sweepToken = math.MaxUint32
 	id := d.lastID + 1
@@ -124,7 +128,7 @@
 		}
 		d.counts.Disconnected++
 		d.markAnswered(request)
-		d.recordAnswer(request, Disconnected, ReasonNone, 0, -1)
+		d.recordAnswer(request, Disconnected, ReasonNone, 0, noAttempt)
 		d.balancer.HandleDisconnect(d.clock.Now(), request.id)
 		d.forget(request)
 	})
@@ -136,20 +140,20 @@
 		return
 	}
 	d.counts.Overdue++
-	d.answer(request, Answer{Verdict: Failed}, ReasonOverdue, -1)
+	d.answer(request, Answer{Verdict: Failed}, ReasonOverdue, noAttempt)
 	d.balancer.HandleDisconnect(d.clock.Now(), request.id)
 	d.forget(request)
 }
 
-// finish gives the balancer's own final answer to a request.
+// finish gives a rejection or a failure that the balancer decided on as the final answer to a request.
 func (d *Dispatcher) finish(id loadbalancer.RequestID, answer Answer) {
 	if request := d.requestsByID[id]; request != nil && !request.answered {
-		d.answer(request, answer, d.rejectionReason(request), -1)
-		d.handle(func() { d.forget(request) })
+		d.answer(request, answer, d.reasonNotServed(request), noAttempt)
+		d.handle(func() { d.forget(request) }) // later: the balancer's event at hand may still name it
 	}
 }
 
-// answer gives the final answer; winner is the index of the attempt that served the request, or -1.
+// answer gives the final answer; winner is the index of the attempt that served the request, or noAttempt.
 func (d *Dispatcher) answer(request *request, answer Answer, reason Reason, winner int) {
 	invariant.Check(!request.answered, "a request is answered once")
 	if request.answered {
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -75,17 +75,23 @@
 	w.peer.server.dispatcher.UpdateMembers(loadbalancer.ListDelta, []dispatch.Member{{Worker: w.member, Backend: w, Name: w.name}})
 }
 
-// removeAbilities removes one ability, or all. Attempts that were not assigned yet never ran and are returned to the
+// removeAbility removes one ability. Attempts that need it and were not assigned yet never ran, and are returned to the
 // dispatcher; running ones may finish. The worker may be nil.
-func (w *worker) removeAbilities(name string, all bool) {
+func (w *worker) removeAbility(name string) {
 	if w == nil {
 		return
 	}
-	if all {
-		clear(w.abilities)
-	} else {
-		delete(w.abilities, name)
+	delete(w.abilities, name)
+	w.publish()
+	w.returnUnservable()
+}
+
+// removeAllAbilities does what removeAbility does, for every ability.
+func (w *worker) removeAllAbilities() {
+	if w == nil {
+		return
 	}
+	clear(w.abilities)
 	w.publish()
 	w.returnUnservable()
 }
@@ -210,9 +216,9 @@
 		}
 		p.addAbility(packet.Args[0], float64(seconds))
 	case CantDo:
-		w.removeAbilities(packet.Args[0], false)
+		w.removeAbility(packet.Args[0])
 	case ResetAbilities:
-		w.removeAbilities("", true)
+		w.removeAllAbilities()
 	case PreSleep:
 		if w != nil {
 			w.asleep = len(w.unassigned) == 0
--- a/internal/dispatcher/handover/frame.go
+++ b/internal/dispatcher/handover/frame.go
@@ -22,7 +22,8 @@
 // Kind is the kind of a frame.
 type Kind uint8
 
-// The kinds of frames. CallbackQuery and Order are queries: each gets one Answer.
+// The kinds of frames. Hello, State, Takeover and the Sessions follow each other in this order. CallbackQuery and Order are
+// queries, which either process may send: each gets one Answer.
 const (
 	Hello           Kind = iota + 1 // the newer process requests the state
 	State                           // the older one's state, perhaps with a descriptor
@@ -31,8 +32,8 @@
 	SessionReceived                 // acknowledges one Session
 	CallbackQuery                   // asks whether the other process knows the call of a callback
 	Order                           // asks the other process to carry out an operator's order
-	Answer
-	Metrics // the older one's metrics, for a newer one that requested them in Hello
+	Answer                          // the ID of the query, then one byte for yes and nothing for no
+	Metrics                         // the older one's metrics, for a newer one that requested them in Hello
 	lastKind
 )
 
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -161,7 +161,7 @@
 		l.handler.HandleQuery(l, kind, payload, func(yes bool) {
 			reply := binary.BigEndian.AppendUint64(nil, query)
 			if yes {
-				reply = append(reply, 1)
+				reply = append(reply, 1) // any byte is a yes
 			}
 			l.conn.Write(AppendFrame(nil, Answer, reply))
 		})
--- a/internal/dispatcher/httpfront/attempt.go
+++ b/internal/dispatcher/httpfront/attempt.go
@@ -76,18 +76,18 @@
 	}
 	outcome := dispatch.Outcome{Report: callback.Load.Values(p.options.ReportFields)}
 	switch callback.State {
-	case "started":
+	case callbackStarted:
 		p.dispatcher.HandleStarted(attempt.id)
 		return
-	case "running":
+	case callbackRunning:
 		p.dispatcher.HandleProgress(attempt.id, callback.Progress)
 		return
-	case "done":
+	case callbackDone:
 		outcome.Result = loadbalancer.OK
 		outcome.Body = []byte(callback.Result)
-	case "returned":
+	case callbackReturned:
 		outcome.Result = loadbalancer.Rejected
-	case "lost":
+	case callbackLost:
 		outcome.Result = loadbalancer.Reset
 	default: // failed, and states that are not known: it may have run
 		outcome.Result = loadbalancer.Error
--- a/internal/dispatcher/httpfront/backend.go
+++ b/internal/dispatcher/httpfront/backend.go
@@ -48,7 +48,7 @@
 func (b *backend) Cancel(id dispatch.AttemptID) bool {
 	a := b.pool.byID[id]
 	if a == nil {
-		return true
+		return true // it has ended, and the dispatcher has not handled its outcome yet: the safe answer
 	}
 	connection, written := a.connection, a.written()
 	b.pool.forget(a)
@@ -76,7 +76,8 @@
 	probeDone func(loadbalancer.Result, []float32)
 }
 
-// do sends an exchange over an idle connection or a new one.
+// do sends an exchange over the connection that became idle last, or over a new one. Idle ones that are found dead, or are
+// probably dead after that idle time, are closed on the way.
 func (b *backend) do(exchange *exchange) {
 	for len(b.idle) > 0 {
 		connection := b.idle[len(b.idle)-1]
@@ -87,6 +88,7 @@
 		}
 		b.idle = b.idle[:len(b.idle)-1]
 		connection.timeout.Stop()
+		// At least the smallest number above 0, which would mean that the connection is new.
 		connection.idleTime = math.Max(now-connection.idleSince, math.SmallestNonzeroFloat64)
 		connection.send(exchange)
 		return
--- a/internal/dispatcher/httpfront/callback.go
+++ b/internal/dispatcher/httpfront/callback.go
@@ -15,7 +15,16 @@
 	Load     LoadReport `json:"load"`
 }
 
-// ParseCallback reads a callback.
+// States of a callback. Any other, such as failed, ends the attempt with an error.
+const (
+	callbackStarted  = "started"
+	callbackRunning  = "running"
+	callbackDone     = "done"
+	callbackReturned = "returned" // the runner rejected the job: it did not run
+	callbackLost     = "lost"     // the runner lost the job, which may have run
+)
+
+// ParseCallback reads a callback. The states are not checked.
 func ParseCallback(body []byte) (Callback, error) {
 	var callback Callback
 	if err := json.Unmarshal(body, &callback); err != nil {
--- a/internal/dispatcher/httpfront/connection.go
+++ b/internal/dispatcher/httpfront/connection.go
@@ -78,6 +78,9 @@
 	})
 }
 
+// idleCloseFraction is the part of the backend's idle timeout after which an idle connection is closed from this side.
+const idleCloseFraction = 0.8
+
 // release makes the connection idle for the next exchange.
 func (c *connection) release() {
 	c.exchange = nil
@@ -90,7 +93,7 @@
 	c.idleSince = c.backend.pool.loop.Now()
 	c.backend.idle = append(c.backend.idle, c)
 	// The backend closes at IdleTimeout at the latest, and a request that crosses its close is lost: close before.
-	c.timeout = c.backend.pool.loop.At(c.idleSince+0.8*c.backend.pool.options.IdleTimeout, c.close)
+	c.timeout = c.backend.pool.loop.At(c.idleSince+idleCloseFraction*c.backend.pool.options.IdleTimeout, c.close)
 }
 
 // close closes the connection from this side.
@@ -126,10 +129,16 @@
 		c.close() // unsolicited
 		return
 	}
-	c.readResponse(false)
+	c.readResponse(streamOpen)
 }
 
-// readResponse handles the answer if it is complete; ended reports that the peer will send no more.
+// Values of readResponse's argument.
+const (
+	streamOpen  = false // the peer may send more
+	streamEnded = true  // the peer sends no more: what is there is all of the answer
+)
+
+// readResponse handles the answer if it is complete, and reports whether it was. ended is streamOpen or streamEnded.
 func (c *connection) readResponse(ended bool) (done bool) {
 	response, size, err := ParseResponse(c.conn.Bytes(), ended)
 	if errors.Is(err, ErrIncomplete) {
@@ -174,7 +183,7 @@
 func (c *connection) Closed(conn *eventloop.Conn, err error) {
 	c.timeout.Stop()
 	c.removeFromIdle()
-	if c.busy && c.connected && len(conn.Bytes()) > 0 && c.readResponse(true) {
+	if c.busy && c.connected && len(conn.Bytes()) > 0 && c.readResponse(streamEnded) {
 		return
 	}
 	if c.busy && c.idleTime > 0 && len(conn.Bytes()) == 0 {
