--- a/internal/system/consensus/simulation_check_test.go
+++ b/internal/system/consensus/simulation_check_test.go
@@ -23,7 +23,7 @@
 	entriesByID        map[entryID]entryContent // all that were ever in a log
 	committed          []Entry                  // in order, from index 1
 	commitTerms        []uint64                 // term of the leader that committed each entry
-	statesByIndex      map[uint64]uint64        // of the state machine
+	statesByIndex      map[uint64]uint64        // of the state machine, by the index applied last
 	syncedLogs         map[ReplicaID]*syncedLog // including those of lost disks
 	pendingReads       map[uint64]int           // by token: the number of entries committed when the read was requested
 	completedReads     int
--- a/internal/system/consensus/simulation_process_test.go
+++ b/internal/system/consensus/simulation_process_test.go
@@ -51,12 +51,12 @@
 	writing        bool
 	writeStartedAt time.Duration // of the first pending Ready
 	frozen         bool
-	deferred       []func(node *Node)
+	deferred       []func(node *Node) // what arrived while the process was frozen
 	nextTickAt     time.Duration
 
-	applied uint64
-	state   uint64
-	commit  uint64
+	applied uint64 // index of the last entry applied
+	state   uint64 // of the state machine: a hash over all entries applied (nextState)
+	commit  uint64 // commit index that checkCommit saw last
 }
 
 func (sim *simulation) boot(host *simulatedHost) {
--- a/internal/system/consensus/simulation_test.go
+++ b/internal/system/consensus/simulation_test.go
@@ -45,7 +45,7 @@
 	MaxFaultInterval          time.Duration
 	MaxFaultDuration          time.Duration
 	MaxProposalInterval       time.Duration
-	NeedlessChangeRate        float64 // of membership, per turn of the operator
+	NeedlessChangeRate        float64 // probability of a membership change without need, each time that the operator looks
 
 	MaxAppendBytes, MaxInflightAppends int
 }
@@ -56,8 +56,8 @@
 	id          ReplicaID
 	disk        *simulatedDisk
 	process     *simulatedProcess // nil: not running
-	clockOffset time.Duration
-	clockRate   float64
+	clockOffset time.Duration     // of its clock to the virtual time
+	clockRate   float64           // of its clock, per virtual time
 }
 
 type event struct {
--- a/internal/system/placement/simulation_test.go
+++ b/internal/system/placement/simulation_test.go
@@ -41,7 +41,7 @@
 	rate         float64 // a second, at each proxy
 	prefixes     [][]Chunk
 	uniqueTokens float64 // mean tokens
-	spread       float64
+	spread       float64 // standard deviation of the unique tokens as a share of their mean
 	outputTokens float64 // mean tokens
 	requests     int
 	inTime       int
@@ -59,7 +59,7 @@
 }
 
 type cachedChunk struct {
-	chain  uint64
+	chain  uint64 // hash of the chunk and of all chunks before it
 	tokens int
 }
 
@@ -77,8 +77,11 @@
 }
 
 const (
-	simulatedPrefillSpeed = 38.7 // prompt tokens prefilled in a millisecond
-	simulatedTokenTime    = 6 * time.Millisecond
+	simulatedPrefillSpeed = 38.7                 // prompt tokens prefilled in a millisecond
+	simulatedTokenTime    = 6 * time.Millisecond // in which an engine decodes a token
+	simulatedCacheTokens  = 230413               // memory of an engine
+	simulatedSlots        = 64                   // requests that an engine runs at once
+	simulatedEventTokens  = 4                    // tokens in an event of a stream
 )
 
 // newSimulation makes a deployment of two regions, with three zones, ten engines and seven proxies.
@@ -95,13 +98,17 @@
 			MaxConnections:    360,
 			SlowStartDuration: 3 * time.Second,
 			SlowStartRate:     9.2,
-			Backend:           &configuration.Backend{Capacity: 64, CacheTokens: 230413, TokensPerEvent: 4},
+			Backend: &configuration.Backend{
+				Capacity:       simulatedSlots,
+				CacheTokens:    simulatedCacheTokens,
+				TokensPerEvent: simulatedEventTokens,
+			},
 		},
 	}
 	zones := []string{"m", "m", "m", "p", "p", "p", "p", "t", "t", "t"}
 	for i, zone := range zones {
 		id := fmt.Sprintf("i-%d-%d", seed, i)
-		runner := Runner{ID: id, Service: "llm", Zone: zone, Region: zoneRegions()[zone], Capacity: 64}
+		runner := Runner{ID: id, Service: "llm", Zone: zone, Region: zoneRegions()[zone], Capacity: simulatedSlots}
 		sim.engines[id] = &simulatedEngine{Runner: runner}
 		sim.runners = append(sim.runners, runner)
 	}
@@ -150,8 +157,10 @@
 	return p
 }
 
-// kind draws a kind of request: the first chunk of its prefixes is one of a few, the second one of many.
-func (sim *simulation) kind(name string, rank, target int, rate float64, things []int, tokens []float64,
+// kind draws a kind of request. Its prefixes have two chunks, the first one of a few and the second one of many: variants and
+// tokens hold the number of each and their mean size. target is in milliseconds, rate a second at each proxy; own and out are
+// the mean tokens of the unique chunk and of the response.
+func (sim *simulation) kind(name string, rank, target int, rate float64, variants []int, tokens []float64,
 	own, spread, out float64) *requestKind {
 	kind := &requestKind{rate: rate, uniqueTokens: own, spread: spread, outputTokens: out}
 	kind.route = configuration.Route{
@@ -165,10 +174,10 @@
 		MaxAttempts:    2,
 	}
 	var firsts []Chunk
-	for range things[0] {
+	for range variants[0] {
 		firsts = append(firsts, Chunk{sim.random.Uint64(), sim.drawTokens(tokens[0], 0.4)})
 	}
-	for i := range things[1] {
+	for i := range variants[1] {
 		kind.prefixes = append(kind.prefixes, []Chunk{firsts[i%len(firsts)], {sim.random.Uint64(), sim.drawTokens(tokens[1], 0.7)}})
 	}
 	return kind
@@ -205,8 +214,8 @@
 		ArrivedAt:       sim.now,
 		Deadline:        sim.now + kind.route.Timeout,
 	}
-	for _, part := range request.Chunks {
-		request.InputTokens += part.Tokens
+	for _, chunk := range request.Chunks {
+		request.InputTokens += chunk.Tokens
 	}
 	kind.requests++
 	choice, rejection := proxy.placer.Place(sim.now, request)
@@ -256,7 +265,7 @@
 
 // startNext prefills the next prompt.
 func (e *simulatedEngine) startNext(sim *simulation) {
-	if e.prefilling || len(e.queue) == 0 || e.running >= 64 {
+	if e.prefilling || len(e.queue) == 0 || e.running >= simulatedSlots {
 		return
 	}
 	job := e.queue[0]
@@ -280,25 +289,26 @@
 }
 
 // prefill caches the shared chunks of a prompt and returns how many tokens were not cached.
-func (e *simulatedEngine) prefill(sim *simulation, parts []Chunk) (tokens int) {
-	prefix, whole := uint64(1), true
-	for i, part := range parts {
-		if i == len(parts)-1 {
-			return tokens + part.Tokens
+func (e *simulatedEngine) prefill(sim *simulation, chunks []Chunk) (tokens int) {
+	prefix := uint64(1)
+	allCached := true // the chunks so far
+	for i, chunk := range chunks {
+		if i == len(chunks)-1 {
+			return tokens + chunk.Tokens
 		}
-		prefix = prefix*0x9e3779b97f4a7c15 ^ part.ID
-		sim.sharedTokens += part.Tokens
-		whole = whole && e.touch(prefix)
-		if whole {
+		prefix = prefix*0x9e3779b97f4a7c15 ^ chunk.ID
+		sim.sharedTokens += chunk.Tokens
+		allCached = allCached && e.touch(prefix)
+		if allCached {
 			continue
 		}
-		tokens += part.Tokens
+		tokens += chunk.Tokens
 		if sim.prefilledPrefixes[prefix] {
-			sim.repeatedTokens += part.Tokens
+			sim.repeatedTokens += chunk.Tokens
 		}
 		sim.prefilledPrefixes[prefix] = true
-		e.cached = append(e.cached, cachedChunk{prefix, part.Tokens})
-		e.cachedTokens += part.Tokens
+		e.cached = append(e.cached, cachedChunk{prefix, chunk.Tokens})
+		e.cachedTokens += chunk.Tokens
 	}
 	return tokens
 }
@@ -315,7 +325,7 @@
 }
 
 func (e *simulatedEngine) evict() {
-	for len(e.cached) > 0 && e.cachedTokens+e.reservedTokens > 230413 {
+	for len(e.cached) > 0 && e.cachedTokens+e.reservedTokens > simulatedCacheTokens {
 		e.cachedTokens -= e.cached[0].tokens
 		e.cached = e.cached[1:]
 	}
@@ -333,7 +343,7 @@
 func (j *simulatedJob) finish() {
 	j.proxy.placer.EndAttempt(j.simulation.now, j.attempt, Succeeded, Progress{
 		TimeToFirstEvent: j.sent,
-		Events:           j.outputTokens / 4,
+		Events:           j.outputTokens / simulatedEventTokens,
 		Duration:         j.simulation.now - j.sent,
 	})
 }
@@ -341,8 +351,8 @@
 // run plays the events up to a time.
 func (sim *simulation) run(until time.Duration) {
 	for {
-		at, do, is := sim.events.PopUntil(until.Seconds())
-		if !is {
+		at, do, due := sim.events.PopUntil(until.Seconds())
+		if !due {
 			return
 		}
 		sim.now = max(sim.now, time.Duration(at*float64(time.Second)))
--- a/internal/system/proxy/simulation_checker_test.go
+++ b/internal/system/proxy/simulation_checker_test.go
@@ -14,6 +14,23 @@
 	timeSlack      = 100 * time.Millisecond // by which a runner may be given more than the remaining time: network and late loop iterations
 )
 
+// rule is a rule for requests that the simulation checks; its value stands in the reports. Package checker of the test
+// kit has similar rules; its ROUTE, BUDGET and CONFIG are other ones.
+type rule string
+
+const (
+	misdeliveredResponse   rule = "MIXED"   // a client received something other than the response to its own request
+	unexpectedRequest      rule = "UNASKED" // a runner received something that no client sent, or an altered request
+	wrongRunner            rule = "ROUTE"   // a request reached another runner than the one that it names
+	duplicateExecution     rule = "TWICE"   // a request that is not idempotent was executed more than once
+	executedAfterRejection rule = "REFUSED" // a request was executed though its client was told that it was not and will not be
+	budgetExceeded         rule = "BUDGET"  // a runner was given more time than there was, or too many runners got a request
+	workAfterCancel        rule = "GONE"    // a request was sent or executed though its client had disconnected
+	lostResponse           rule = "LOST"    // a client got no response in time though no runner or network gave reason for it
+	routeTimeoutExceeded   rule = "CONFIG"  // a request went on beyond the timeout that its route is configured with
+	resourcesNotReleased   rule = "BOUND"   // the proxy holds exchanges, bytes or sessions when all clients are done
+)
+
 // checker knows every request of a client and everything the runners did, and reports violations of the rules. It
 // influences neither.
 type checker struct {
@@ -30,7 +47,7 @@
 
 // simulatedRequest is a request of a client with its executions and its response.
 type simulatedRequest struct {
-	id          string
+	id          string // its X-Try-Id, which is unique in the run
 	target      string
 	method      string
 	version     string
@@ -40,7 +57,7 @@
 	deadline    time.Duration // of the client, in virtual time as all times here
 	routeEnd    time.Duration // when the route's timeout ends
 	cancelledAt time.Duration // when the client disconnected; 0: it did not
-	arrivals    int
+	arrivals    int           // at runners
 	executions  []*execution
 	faulted     bool // a runner or its network gave reason to cut off its response
 	completed   bool // the client has its response or has seen its end
@@ -56,7 +73,7 @@
 type execution struct {
 	request *simulatedRequest
 	runner  string
-	seal    string
+	seal    string // identifies the execution, in the header X-Server-Seal of its response
 	status  int
 	body    string // of a complete response
 }
@@ -66,22 +83,22 @@
 }
 
 // violation records a broken rule.
-func (r *checker) violation(rule, format string, args ...any) {
-	r.violations = append(r.violations, fmt.Sprintf("%8.4f %s: %s", r.network.now.Seconds(), rule, fmt.Sprintf(format, args...)))
+func (r *checker) violation(broken rule, format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf("%8.4f %s: %s", r.network.now.Seconds(), broken, fmt.Sprintf(format, args...)))
 }
 
 // suspectedViolation is a violation unless a runner or its network gave reason for it, which may turn out later.
 type suspectedViolation struct {
 	request *simulatedRequest
-	rule    string
+	rule    rule
 	text    string
 }
 
 // suspect records a violation that counts unless the request turns out to have met a fault.
-func (r *checker) suspect(request *simulatedRequest, rule, text string) {
+func (r *checker) suspect(request *simulatedRequest, broken rule, text string) {
 	r.suspectedViolations = append(r.suspectedViolations, suspectedViolation{
 		request: request,
-		rule:    rule,
+		rule:    broken,
 		text:    fmt.Sprintf("at %.4f: %s", r.network.now.Seconds(), text),
 	})
 }
@@ -100,24 +117,25 @@
 	runner := conn.runner
 	request := r.requests[got.header.Get(headerTryID)]
 	if request == nil {
-		r.violation("UNASKED", "runner %s gets %q", runner.id, got.line)
+		r.violation(unexpectedRequest, "runner %s gets %q", runner.id, got.line)
 		return nil
 	}
 	request.arrivals++
 	request.lastArrival = r.network.now
 	if want := request.method + " " + request.target + " HTTP/1.1"; got.line != want {
-		r.violation("UNASKED", "%s arrives as %q, want %q", request.id, got.line, want)
+		r.violation(unexpectedRequest, "%s arrives as %q, want %q", request.id, got.line, want)
 	}
 	if got.header.Get(headerModel) != "m-"+request.id || got.header.Get("Host") != "h.example" {
-		r.violation("UNASKED", "%s arrives with other fields: %v", request.id, got.header)
+		r.violation(unexpectedRequest, "%s arrives with other fields: %v", request.id, got.header)
 	}
 	if wanted := got.header.Get(headerWantedServer); wanted != runner.id {
-		r.violation("ROUTE", "%s for %s arrives at %s", request.id, wanted, runner.id)
+		r.violation(wrongRunner, "%s for %s arrives at %s", request.id, wanted, runner.id)
 	}
 	request.faulted = request.faulted || conn.wasDelayed()
 	r.checkTimeLeft(conn, request, got.header.Get(headerTimeLeft))
 	if request.cancelledAt > 0 && r.network.now > request.cancelledAt+cancelWithin {
-		r.violation("GONE", "%s arrives at %s %v after its client disconnected", request.id, runner.id, r.network.now-request.cancelledAt)
+		r.violation(workAfterCancel, "%s arrives at %s %v after its client disconnected", request.id, runner.id,
+			r.network.now-request.cancelledAt)
 	}
 	return request
 }
@@ -126,7 +144,7 @@
 func (r *checker) checkTimeLeft(conn *simulatedRunnerConn, request *simulatedRequest, value string) {
 	left, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || left <= 0 {
-		r.violation("BUDGET", "%s has a time left of %q", request.id, value)
+		r.violation(budgetExceeded, "%s has a time left of %q", request.id, value)
 		return
 	}
 	if conn.wasDelayed() {
@@ -134,25 +152,25 @@
 	}
 	end := r.network.now + time.Duration(left)*time.Millisecond
 	if end > min(request.deadline, request.routeEnd)+timeSlack {
-		r.violation("BUDGET", "%s gets %v more than its client has", request.id, end-min(request.deadline, request.routeEnd))
+		r.violation(budgetExceeded, "%s gets %v more than its client has", request.id, end-min(request.deadline, request.routeEnd))
 	}
 }
 
 // executionStarted records that a runner starts to work on a request.
 func (r *checker) executionStarted(request *simulatedRequest, runner string) *execution {
-	made := &execution{request: request, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, request.id, len(r.executions))}
-	r.executions[made.seal] = made
-	request.executions = append(request.executions, made)
+	run := &execution{request: request, runner: runner, seal: fmt.Sprintf("%s.%s.%d", runner, request.id, len(r.executions))}
+	r.executions[run.seal] = run
+	request.executions = append(request.executions, run)
 	if len(request.executions) > 1 && !request.idempotent() {
-		r.violation("TWICE", "%s runs for the %d. time, at %s", request.id, len(request.executions), runner)
+		r.violation(duplicateExecution, "%s runs for the %d. time, at %s", request.id, len(request.executions), runner)
 	}
 	if request.rejected {
-		r.violation("REFUSED", "%s runs at %s after it was rejected", request.id, runner)
+		r.violation(executedAfterRejection, "%s runs at %s after it was rejected", request.id, runner)
 	}
 	if len(request.executions) > simulationAttempts {
-		r.violation("BUDGET", "%s runs on %d runners", request.id, len(request.executions))
+		r.violation(budgetExceeded, "%s runs on %d runners", request.id, len(request.executions))
 	}
-	return made
+	return run
 }
 
 // clientLeft records that a client has disconnected; no work may continue for it.
@@ -163,13 +181,13 @@
 	request.cancelledAt = r.network.now
 }
 
-// connectionEnded processes the end of a connection before the response was complete; some means that a part had
+// connectionEnded processes the end of a connection before the response was complete; partial means that a part of it had
 // arrived.
-func (r *checker) connectionEnded(request *simulatedRequest, some bool) {
+func (r *checker) connectionEnded(request *simulatedRequest, partial bool) {
 	request.completed = true
 	over := r.network.now+timeSlack >= min(request.deadline, request.routeEnd)
 	if !over {
-		r.suspect(request, "LOST", fmt.Sprintf("sees its connection end without a complete response; a part of it: %v", some))
+		r.suspect(request, lostResponse, fmt.Sprintf("sees its connection end without a complete response; a part of it: %v", partial))
 	}
 }
 
@@ -179,29 +197,30 @@
 	seal := response.head.header.Get(headerSeal)
 	id := response.head.header.Get(headerTryID)
 	if id != "" && id != request.id {
-		r.violation("MIXED", "%s gets the response to %s", request.id, id)
+		r.violation(misdeliveredResponse, "%s gets the response to %s", request.id, id)
 	}
 	if seal == "" {
 		r.checkLocalResponse(request, response)
 		return
 	}
-	made := r.executions[seal]
-	if made == nil || made.request != request {
-		r.violation("MIXED", "%s gets a response with the seal %q", request.id, seal)
+	run := r.executions[seal]
+	if run == nil || run.request != request {
+		r.violation(misdeliveredResponse, "%s gets a response with the seal %q", request.id, seal)
 		return
 	}
 	if meansNotRun(response.status) {
-		r.violation("REFUSED", "%s gets the %d of %s, which ran it", request.id, response.status, made.runner)
+		r.violation(executedAfterRejection, "%s gets the %d of %s, which ran it", request.id, response.status, run.runner)
 	}
-	if response.status != made.status {
-		r.violation("MIXED", "%s gets %d where the runner responded %d", request.id, response.status, made.status)
+	if response.status != run.status {
+		r.violation(misdeliveredResponse, "%s gets %d where the runner responded %d", request.id, response.status, run.status)
 	}
-	want := made.body
+	want := run.body
 	if response.status == 200 && request.kind == "resumable" {
 		want = completeStream(request.id)
 	}
 	if response.body != want {
-		r.violation("MIXED", "%s gets %d bytes %.600q, want %d bytes %.60q", request.id, len(response.body), response.body, len(want), want)
+		r.violation(misdeliveredResponse, "%s gets %d bytes %.600q, want %d bytes %.60q",
+			request.id, len(response.body), response.body, len(want), want)
 	}
 	if response.status == 200 {
 		r.served++
@@ -224,27 +243,28 @@
 		r.rejected++
 		request.rejected = true
 		if len(request.executions) > 0 {
-			r.violation("REFUSED", "%s gets %d and has run at %s", request.id, response.status, request.executions[0].runner)
+			r.violation(executedAfterRejection, "%s gets %d and has run at %s", request.id, response.status, request.executions[0].runner)
 		}
 		if response.head.header.Get(headerRetryAfter) == "" {
-			r.violation("REFUSED", "%s gets %d without Retry-After", request.id, response.status)
+			r.violation(executedAfterRejection, "%s gets %d without Retry-After", request.id, response.status)
 		}
 	case response.status == 504:
 		r.timedOut++
 		if !over {
-			r.violation("LOST", "%s gets a 504 %v before its deadline", request.id, min(request.deadline, request.routeEnd)-r.network.now)
+			r.violation(lostResponse, "%s gets a 504 %v before its deadline", request.id,
+				min(request.deadline, request.routeEnd)-r.network.now)
 		}
 	case response.status == 502:
-		r.suspect(request, "LOST", "gets a 502 though no runner failed it")
+		r.suspect(request, lostResponse, "gets a 502 though no runner failed it")
 	default:
-		r.violation("MIXED", "%s gets %d without a seal: %v", request.id, response.status, response.head.header)
+		r.violation(misdeliveredResponse, "%s gets %d without a seal: %v", request.id, response.status, response.head.header)
 	}
 }
 
 // checkCompleted is called completeWithin after a route's timeout.
 func (r *checker) checkCompleted(request *simulatedRequest) {
 	if !request.completed && request.cancelledAt == 0 && !request.slow {
-		r.violation("CONFIG", "%s has no complete response %v after its route's timeout", request.id, completeWithin)
+		r.violation(routeTimeoutExceeded, "%s has no complete response %v after its route's timeout", request.id, completeWithin)
 	}
 }
 
@@ -257,7 +277,7 @@
 		if slices.ContainsFunc(runner.conns, func(conn *simulatedRunnerConn) bool {
 			return conn.request == request && conn.running && !conn.end.localClosed
 		}) {
-			r.violation("GONE", "%s is still being executed at %s", request.id, runner.id)
+			r.violation(workAfterCancel, "%s is still being executed at %s", request.id, runner.id)
 		}
 	}
 }
--- a/internal/system/proxy/simulation_client_test.go
+++ b/internal/system/proxy/simulation_client_test.go
@@ -162,14 +162,14 @@
 	checker := c.sim.checker
 	if c.request == nil {
 		if c.received != "" {
-			checker.violation("MIXED", "client %d gets %.60q without a request", c.index, c.received)
+			checker.violation(misdeliveredResponse, "client %d gets %.60q without a request", c.index, c.received)
 		}
 		return
 	}
 	response, whole, valid := parseResponse(c.received, ended)
 	switch {
 	case !valid:
-		checker.violation("MIXED", "%s gets %.60q", c.request.id, c.received)
+		checker.violation(misdeliveredResponse, "%s gets %.60q", c.request.id, c.received)
 		c.disconnect()
 		c.finishRequest()
 	case whole:
--- a/internal/system/proxy/simulation_runner_test.go
+++ b/internal/system/proxy/simulation_runner_test.go
@@ -72,14 +72,14 @@
 	end           *remoteEnd
 	received      string
 	request       *simulatedRequest // being executed, or its body is arriving
-	previousID    string
-	pendingBody   string // bytes of the body that have not arrived
-	running       bool   // the request is being executed
-	replying      bool   // a part of a response was sent
-	mayBeStale    bool   // an extra response may arrive
-	answeredEarly bool   // the request was answered before its body was complete
-	onBody        func() // runs when the body is complete
-	generation    int    // of the script: a new one invalidates the steps of the earlier ones
+	previousID    string            // of the request before, whose response a script may repeat
+	pendingBody   string            // bytes of the body that have not arrived
+	running       bool              // the request is being executed
+	replying      bool              // a part of a response was sent
+	mayBeStale    bool              // an extra response may arrive
+	answeredEarly bool              // the request was answered before its body was complete
+	onBody        func()            // runs when the body is complete
+	generation    int               // of the script: a new one invalidates the steps of the earlier ones
 }
 
 // markFault records that the current request fails because of the runner.
@@ -126,7 +126,7 @@
 		case c.pendingBody != "":
 			n := min(len(c.pendingBody), len(c.received))
 			if c.received[:n] != c.pendingBody[:n] {
-				c.runner.sim.checker.violation("UNASKED", "%s gets %.40q where %.40q of %s is expected",
+				c.runner.sim.checker.violation(unexpectedRequest, "%s gets %.40q where %.40q of %s is expected",
 					c.runner.id, c.received, c.pendingBody, c.request.id)
 				c.resetConn()
 				return
@@ -137,7 +137,7 @@
 				c.handleBody()
 			}
 		case c.request != nil:
-			c.runner.sim.checker.violation("UNASKED", "%s gets %.60q while it executes %s", c.runner.id, c.received, c.request.id)
+			c.runner.sim.checker.violation(unexpectedRequest, "%s gets %.60q while it executes %s", c.runner.id, c.received, c.request.id)
 			c.resetConn()
 		default:
 			if !c.readHead() {
@@ -162,7 +162,7 @@
 	}
 	length, _ := strconv.Atoi(got.header.Get("Content-Length"))
 	if length != len(request.body) {
-		sim.checker.violation("UNASKED", "%s arrives with %d bytes of %d", request.id, length, len(request.body))
+		sim.checker.violation(unexpectedRequest, "%s arrives with %d bytes of %d", request.id, length, len(request.body))
 	}
 	c.request = request
 	c.pendingBody = request.body
@@ -222,12 +222,12 @@
 	sim := c.runner.sim
 	text := notRunResponse(c.request.id, 503)
 	if sim.network.now >= c.runner.peer.partitionedUntil && !sim.chance(3) { // a runner that has started sends its response head at once
-		made := sim.checker.executionStarted(c.request, c.runner.id)
-		made.status = 200
-		made.body = bodyOf(c.request.id)
-		text = sealedResponse(made, "", lengthDelimited(made))
+		run := sim.checker.executionStarted(c.request, c.runner.id)
+		run.status = 200
+		run.body = bodyOf(c.request.id)
+		text = sealedResponse(run, "", lengthDelimited(run))
 		if c.request.kind == "resumable" || c.request.kind == "stream" {
-			text = c.stream(made, got)
+			text = c.stream(run, got)
 		}
 	}
 	switch sim.random.IntN(5) {
@@ -254,28 +254,28 @@
 }
 
 // sealedResponse is the response of an execution; rest is its framing and body.
-func sealedResponse(made *execution, fields, rest string) string {
-	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Try-Id: %s\r\nX-Server-Seal: %s\r\n%s%s", made.status, made.request.id, made.seal,
+func sealedResponse(run *execution, fields, rest string) string {
+	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Try-Id: %s\r\nX-Server-Seal: %s\r\n%s%s", run.status, run.request.id, run.seal,
 		fields, rest)
 }
 
-func lengthDelimited(made *execution) string {
-	return fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(made.body), made.body)
+func lengthDelimited(run *execution) string {
+	return fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(run.body), run.body)
 }
 
 // stream is the response with a stream from the event that is wanted.
-func (c *simulatedRunnerConn) stream(made *execution, got *parsedHead) string {
+func (c *simulatedRunnerConn) stream(run *execution, got *parsedHead) string {
 	from := 0
 	if c.request.kind == "resumable" {
 		_, _ = fmt.Sscan(got.header.Get(headerLastEventID), &from)
 	}
-	made.status = 200
-	made.body = completeStream(c.request.id)
+	run.status = 200
+	run.body = completeStream(c.request.id)
 	var text strings.Builder
 	for i := from + 1; i <= chaosEvents; i++ {
 		text.WriteString(chunkText(fmt.Sprintf("id: %d\ndata: %s\n\n", i, c.request.id)))
 	}
-	return sealedResponse(made, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", text.String()+lastChunk)
+	return sealedResponse(run, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", text.String()+lastChunk)
 }
 
 // execute executes the request or rejects it.
@@ -296,9 +296,9 @@
 		c.sendPieces(notRunWithoutID, c.makeIdle)
 		return
 	}
-	made := sim.checker.executionStarted(request, c.runner.id)
+	run := sim.checker.executionStarted(request, c.runner.id)
 	c.running = true
-	c.onBody = func() { c.drawResponse(made, got) }
+	c.onBody = func() { c.drawResponse(run, got) }
 	c.after(c.drawWorkTime(got), func() {
 		do := c.onBody
 		c.onBody = nil
@@ -308,17 +308,17 @@
 
 // drawWorkTime chooses how long a request takes; sometimes until just after its time has run out.
 func (c *simulatedRunnerConn) drawWorkTime(got *parsedHead) time.Duration {
-	m := c.runner.sim
+	sim := c.runner.sim
 	left, _ := strconv.Atoi(got.header.Get(headerTimeLeft))
-	switch m.random.IntN(10) {
+	switch sim.random.IntN(10) {
 	case 0:
-		return time.Duration(left)*time.Millisecond - 20*time.Millisecond + m.randomDuration(30*time.Millisecond)
+		return time.Duration(left)*time.Millisecond - 20*time.Millisecond + sim.randomDuration(30*time.Millisecond)
 	case 1:
 		return time.Hour // the runner hangs
 	case 2:
-		return m.randomDuration(2 * time.Second)
+		return sim.randomDuration(2 * time.Second)
 	}
-	return m.randomDuration(200 * time.Millisecond)
+	return sim.randomDuration(200 * time.Millisecond)
 }
 
 // after schedules an action unless the connection has gone on to something else by then.
@@ -361,13 +361,13 @@
 }
 
 // drawResponse chooses a response to what was executed.
-func (c *simulatedRunnerConn) drawResponse(made *execution, got *parsedHead) {
+func (c *simulatedRunnerConn) drawResponse(run *execution, got *parsedHead) {
 	request := c.request
-	made.status = 200
-	made.body = bodyOf(request.id)
-	text := sealedResponse(made, "", lengthDelimited(made))
+	run.status = 200
+	run.body = bodyOf(request.id)
+	text := sealedResponse(run, "", lengthDelimited(run))
 	if request.kind == "stream" || request.kind == "resumable" {
-		text = c.stream(made, got)
+		text = c.stream(run, got)
 	}
 	switch c.runner.sim.random.IntN(22) {
 	case 0:
@@ -375,9 +375,9 @@
 	case 1:
 		c.closeConn()
 	case 2:
-		c.sendFailure(made, 500, "oops")
+		c.sendFailure(run, 500, "oops")
 	case 3:
-		c.sendFailure(made, 503, "oops")
+		c.sendFailure(run, 503, "oops")
 	case 4:
 		request.faulted = true
 		c.sendPieces("\x01\x02 no answer", c.makeIdle)
@@ -399,22 +399,22 @@
 	case 12:
 		c.sendPieces("HTTP/1.1 100 Continue\r\n\r\n"+text, c.makeIdle)
 	case 13:
-		c.sendDelimitedByClose(made, text)
+		c.sendDelimitedByClose(run, text)
 	case 14:
 		c.sendWithLateExtra(text)
 	case 15:
-		c.sendFailure(made, 504, "late")
+		c.sendFailure(run, 504, "late")
 	default:
 		c.sendPieces(text, c.makeIdle)
 	}
 }
 
 // sendFailure sends a complete response of a runner that failed.
-func (c *simulatedRunnerConn) sendFailure(made *execution, status int, body string) {
-	made.status = status
-	made.body = body
+func (c *simulatedRunnerConn) sendFailure(run *execution, status int, body string) {
+	run.status = status
+	run.body = body
 	c.request.faulted = true
-	c.sendPieces(sealedResponse(made, "", lengthDelimited(made)), c.makeIdle)
+	c.sendPieces(sealedResponse(run, "", lengthDelimited(run)), c.makeIdle)
 }
 
 // sendCutShort sends a random part of a response and continues with then.
@@ -431,9 +431,9 @@
 }
 
 // sendDelimitedByClose sends a response that ends with the connection; one without a stream may be lost on its way.
-func (c *simulatedRunnerConn) sendDelimitedByClose(made *execution, text string) {
+func (c *simulatedRunnerConn) sendDelimitedByClose(run *execution, text string) {
 	if c.request.kind == "reads" || c.request.kind == "writes" {
-		text = sealedResponse(made, "", "\r\n"+made.body)
+		text = sealedResponse(run, "", "\r\n"+run.body)
 		if c.runner.sim.chance(2) {
 			c.sendCutShort(text, c.resetConn)
 			return
--- a/internal/system/proxy/simulation_test.go
+++ b/internal/system/proxy/simulation_test.go
@@ -40,7 +40,7 @@
 	runners       []*simulatedRunner
 	activeClients int           // that still send requests
 	shutdownAt    time.Duration // when the shutdown began; 0: it did not
-	checked       bool
+	checked       bool          // the final state was checked, which is done once
 	requestCount  int
 }
 
@@ -156,7 +156,8 @@
 	sim.checker.finish()
 	p := sim.proxy
 	if sim.shutdownAt == 0 && (p.openExchanges != 0 || p.bufferedBodyBytes != 0 || p.sessions.count != 0) {
-		sim.checker.violation("BOUND", "%d exchanges, %d bytes, %d sessions", p.openExchanges, p.bufferedBodyBytes, p.sessions.count)
+		sim.checker.violation(resourcesNotReleased, "%d exchanges, %d bytes, %d sessions",
+			p.openExchanges, p.bufferedBodyBytes, p.sessions.count)
 	}
 }
 
@@ -181,15 +182,16 @@
 		r.partition(sim.randomDuration(longestPartition))
 	case 1:
 		r.crash(sim.randomDuration(longestPartition))
+	default: // no fault this time
 	}
 	if sim.activeClients > 0 {
 		sim.network.after(sim.randomDuration(2*time.Second), sim.injectFault)
 	}
 }
 
-// randomDuration returns a duration in [0, most).
-func (sim *simulation) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(sim.random.Int64N(int64(most)))
+// randomDuration returns a duration in [0, limit).
+func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(sim.random.Int64N(int64(limit)))
 }
 
 // chance returns true one time in oneIn on average.
--- a/internal/system/replica/simulation_test.go
+++ b/internal/system/replica/simulation_test.go
@@ -278,18 +278,19 @@
 	switch {
 	case sim.profile.RegionalDelay == 0:
 		return sim.uniform(sim.profile.Delay/4, sim.profile.Delay)
-	case from.region() == to.region():
+	case from.inSecondRegion() == to.inSecondRegion():
 		return sim.uniform(sim.profile.RegionalDelay/2, sim.profile.RegionalDelay)
 	default:
 		return sim.uniform(sim.profile.Delay*9/10, sim.profile.Delay)
 	}
 }
 
-// region returns the machine's region: one has two zones, the other one.
-func (s *simMachine) region() bool { return s.settings.Zone == "zone-2" }
+// inSecondRegion reports whether the machine is in the second of two regions: the first has the zones 0 and 1, the second
+// zone 2.
+func (s *simMachine) inSecondRegion() bool { return s.settings.Zone == "zone-2" }
 
-// transmit carries something from one machine to another, in order if it uses a connection, or loses it. arrive runs
-// in the process that was there when it was sent.
+// transmit carries something from one machine to another, or loses it. ordered means that it uses a connection, so that it
+// arrives after what was sent before. arrive runs in the process that was there when it was sent, if it still runs then.
 func (sim *simulation) transmit(from, to *simMachine, ordered bool, arrive func(p *simProcess)) {
 	if sim.faultsEnabled && sim.chance(sim.profile.Loss) {
 		return
