--- a/internal/dispatcher/cluster/auditlog/attempts.go
+++ b/internal/dispatcher/cluster/auditlog/attempts.go
@@ -22,11 +22,11 @@
 	}
 	a.report.Judged++
 	t.last = max(t.last, attempt.At-t.clockLead)
-	if since, off := transitionAt(t.outOfService, attempt.Mark); off && attempt.At > since+a.Rules.Grace {
+	if since, blocked := transitionAt(t.outOfService, attempt.Mark); blocked && attempt.At > since+a.Rules.Grace {
 		a.addViolation(attempt, "sent out of its lease, or before it looked again after a sleep", "", attempt.At-since)
 		return
 	}
-	if since, off := transitionAt(t.blocked[attempt.Node], attempt.Mark); off {
+	if since, blocked := transitionAt(t.blocked[attempt.Node], attempt.Mark); blocked {
 		if attempt.At > since+a.Rules.Grace {
 			a.addViolation(attempt, "sent to a worker after it was told that it gets nothing new", attempt.Node, attempt.At-since)
 		}
--- a/internal/dispatcher/cluster/auditlog/log.go
+++ b/internal/dispatcher/cluster/auditlog/log.go
@@ -67,7 +67,7 @@
 	Revision int64  `json:"rev,omitempty"` // if it is not the entry's
 }
 
-// Entry is a line of the log.
+// Entry is a line of the log. Which fields count depends on Kind.
 type Entry struct {
 	Time       float64 `json:"time"` // Unix time, by the dispatcher's clock
 	Dispatcher string  `json:"by"`   // that wrote it
@@ -75,24 +75,26 @@
 	Number     uint64  `json:"n"`    // 1, 2 and so on within a generation
 	Kind       string  `json:"what"`
 
-	From           string   `json:"from,omitempty"` // the member that sent it; empty: the own discovery, or none
-	Source         string   `json:"source,omitempty"`
+	From           string   `json:"from,omitempty"`   // the member that sent it, or issued the order; empty: the own discovery, or none
+	Source         string   `json:"source,omitempty"` // of the list; with Epoch and Revision its version
 	Epoch          uint64   `json:"descent,omitempty"`
 	Revision       int64    `json:"rev,omitempty"`
 	Cached         bool     `json:"cached,omitempty"` // the list was read from disk
 	Workers        []Worker `json:"workers,omitempty"`
 	OmittedWorkers int      `json:"more,omitempty"`   // number of workers beyond maxWorkers
 	PeerClock      float64  `json:"theirs,omitempty"` // the member's clock, Unix time
-	Member         string   `json:"member,omitempty"`
-	Out            bool     `json:"out,omitempty"`
-	Reason         string   `json:"why,omitempty"`
-	LateSeconds    float64  `json:"late_s,omitempty"`
-	Program        string   `json:"program,omitempty"`
-	Settings       string   `json:"settings,omitempty"`
-	Operator       string   `json:"operator,omitempty"`
-	Digest         string   `json:"digest,omitempty"` // of the view, or of the excluded workers
-	Members        int      `json:"members,omitempty"`
-	LostLines      uint64   `json:"lost,omitempty"` // lines of this log and of the request log that were lost so far
+	Member         string   `json:"member,omitempty"` // that an order names
+	Out            bool     `json:"out,omitempty"`    // OrderReceived: the member is excluded; LeaseChanged: no new work is allowed
+	Reason         string   `json:"why,omitempty"`    // of the lease
+	// LateSeconds is how long the process was paused (Paused), discovery was silent so far (DiscoverySilent), or the view took
+	// to converge (ViewConverged).
+	LateSeconds float64 `json:"late_s,omitempty"`
+	Program     string  `json:"program,omitempty"`  // version, of Started
+	Settings    string  `json:"settings,omitempty"` // hash
+	Operator    string  `json:"operator,omitempty"` // hash of the operator's file
+	Digest      string  `json:"digest,omitempty"`   // of the view, or of the excluded workers
+	Members     int     `json:"members,omitempty"`  // ViewConverged: members alive; ExclusionsChanged: excluded workers
+	LostLines   uint64  `json:"lost,omitempty"`     // lines of this log and of the request log that were lost so far
 }
 
 const (
@@ -120,8 +122,16 @@
 	return &Log{log: log, dispatcher: dispatcher, generation: generation}, nil
 }
 
+// The name of a generation is its start in microseconds of Unix time, as a number of this base.
+const (
+	generationsPerSecond = 1e6
+	generationNameBase   = 36
+)
+
 // GenerationName names a run of a process by its start, in Unix time.
-func GenerationName(started float64) string { return strconv.FormatUint(uint64(started*1e6), 36) }
+func GenerationName(started float64) string {
+	return strconv.FormatUint(uint64(started*generationsPerSecond), generationNameBase)
+}
 
 // Append writes an entry and returns its number, which is the mark of what is decided from now on.
 func (l *Log) Append(now float64, entry Entry) uint64 {
@@ -132,7 +142,8 @@
 	entry.Generation = l.generation
 	entry.Number = l.number
 	if len(entry.Workers) > maxWorkers {
-		entry.Workers, entry.OmittedWorkers = entry.Workers[:maxWorkers], len(entry.Workers)-maxWorkers
+		entry.OmittedWorkers = len(entry.Workers) - maxWorkers
+		entry.Workers = entry.Workers[:maxWorkers]
 	}
 	text, err := json.Marshal(&entry)
 	if err == nil { // numbers and strings: it cannot fail
--- a/internal/dispatcher/cluster/auditlog/read.go
+++ b/internal/dispatcher/cluster/auditlog/read.go
@@ -84,20 +84,20 @@
 
 // requestLogLine is a line of the request log, as far as it is read here.
 type requestLogLine struct {
-	Time    float64             `json:"time"` // of the answer
-	By      string              `json:"by"`
-	ID      string              `json:"id"`
-	Verdict string              `json:"verdict"`
-	Took    float64             `json:"took_ms"`
-	Mark    string              `json:"mark"` // the dispatcher's generation, a point, and the last entry in force
-	Tries   []requestLogAttempt `json:"tries"`
+	Time       float64             `json:"time"` // of the answer
+	Dispatcher string              `json:"by"`
+	ID         string              `json:"id"`
+	Verdict    string              `json:"verdict"`
+	DurationMS float64             `json:"took_ms"`
+	Mark       string              `json:"mark"` // the dispatcher's generation, a point, and the last entry in force
+	Attempts   []requestLogAttempt `json:"tries"`
 }
 
 // requestLogAttempt is an attempt in a line of the request log.
 type requestLogAttempt struct {
-	Node string  `json:"node"`
-	Sent float64 `json:"sent_ms"` // since the request's arrival
-	Mark uint64  `json:"mark"`
+	Node   string  `json:"node"`
+	SentMS float64 `json:"sent_ms"` // since the request's arrival
+	Mark   uint64  `json:"mark"`
 }
 
 // parseLine parses a line of either log. entry and send may be nil.
@@ -120,16 +120,16 @@
 	}
 	generation, _, hasNumber := strings.Cut(answer.Mark, ".")
 	isMarkValid := answer.Mark == "" || hasNumber && generation != ""
-	if !validTime(answer.Time) || answer.By == "" || !isMarkValid {
+	if !validTime(answer.Time) || answer.Dispatcher == "" || !isMarkValid {
 		return errUnknownForm
 	}
-	for _, attempt := range answer.Tries {
+	for _, attempt := range answer.Attempts {
 		send(&Attempt{
-			Dispatcher: answer.By,
+			Dispatcher: answer.Dispatcher,
 			Generation: generation,
 			ID:         answer.ID,
 			Node:       attempt.Node,
-			At:         answer.Time + (attempt.Sent-answer.Took)/1000,
+			At:         answer.Time + (attempt.SentMS-answer.DurationMS)/1000,
 			Mark:       attempt.Mark,
 		})
 	}
@@ -190,4 +190,7 @@
 	return auditor.Report(), nil
 }
 
-func validTime(t float64) bool { return t > 0 && t < 1e11 && !math.IsNaN(t) }
+// maxTime is above every plausible Unix time in seconds.
+const maxTime = 1e11
+
+func validTime(t float64) bool { return t > 0 && t < maxTime && !math.IsNaN(t) }
--- a/internal/dispatcher/cluster/auditlog/timeline.go
+++ b/internal/dispatcher/cluster/auditlog/timeline.go
@@ -101,8 +101,9 @@
 	return follows
 }
 
-// transitionAt returns the transition in force at a mark, and since when; false before the first.
-func transitionAt(transitions []transition, mark uint64) (since float64, off bool) {
+// transitionAt returns whether new work was blocked at a mark, by the last of the transitions up to it, and since when by
+// the own clock; false before the first. The transitions must be in the order of their entries.
+func transitionAt(transitions []transition, mark uint64) (since float64, blocked bool) {
 	i := sort.Search(len(transitions), func(i int) bool { return transitions[i].entry > mark })
 	if i == 0 {
 		return 0, false
--- a/internal/dispatcher/cluster/jobreplica/member.go
+++ b/internal/dispatcher/cluster/jobreplica/member.go
@@ -30,19 +30,26 @@
 // evenly over the zones as possible. The choice does not depend on the order of members. It is shorter than count if there
 // are too few hosts.
 func ChooseMembers(members, existing []Member, count int) (chosen []Member) {
-	usedHosts, zoneCounts := map[string]bool{}, map[string]int{}
+	usedHosts := map[string]bool{}
+	zoneCounts := map[string]int{} // replicas in each zone
 	for _, m := range existing {
 		usedHosts[m.Host] = true
 		zoneCounts[m.Zone]++
 	}
+	compare := func(a, b Member) int { // the better one first
+		return cmp.Or(
+			cmp.Compare(zoneCounts[a.Zone], zoneCounts[b.Zone]),
+			cmp.Compare(a.Name, b.Name),
+			cmp.Compare(a.ID, b.ID),
+		)
+	}
 	for len(chosen) < count {
 		best := -1
 		for i, m := range members {
 			if usedHosts[m.Host] {
 				continue
 			}
-			if best < 0 || cmp.Or(cmp.Compare(zoneCounts[m.Zone], zoneCounts[members[best].Zone]),
-				cmp.Compare(m.Name, members[best].Name), cmp.Compare(m.ID, members[best].ID)) < 0 {
+			if best < 0 || compare(m, members[best]) < 0 {
 				best = i
 			}
 		}
--- a/internal/dispatcher/cluster/jobreplica/replica.go
+++ b/internal/dispatcher/cluster/jobreplica/replica.go
@@ -40,13 +40,13 @@
 // Replica is a member's part in the replication. The package comment tells how to use it. Its times are in seconds.
 type Replica struct {
 	options             Options
-	node                *consensus.Node    // nil: this member holds no replica
+	node                *consensus.Node    // nil: this member holds no replica, or its replica has stopped
 	candidates          []Member           // that may become replicas
-	lastContact         map[uint64]float64 // time of the last message of each replica, by ID
-	now                 float64
-	leaderSeenAt        float64 // when this replica led, or received a message of the leader
-	maintainedAt        float64 // last run of maintainMembership
-	membershipChangedAt float64 // last membership change that this replica has proposed
+	lastContact         map[uint64]float64 // time of the last message of each replica, by ID; for NoMajorityError alone
+	now                 float64            // the latest time that a call has brought
+	leaderSeenAt        float64            // when this replica led, or received a message of the leader
+	maintainedAt        float64            // last run of maintainMembership
+	membershipChangedAt float64            // last membership change that this replica has proposed
 	hardState           consensus.HardState
 	appliedIndex        uint64
 	uncommittedBytes    int // of the commands that this replica has proposed as the leader of uncommittedTerm
--- a/internal/dispatcher/cluster/quota/calculator.go
+++ b/internal/dispatcher/cluster/quota/calculator.go
@@ -1,6 +1,9 @@
 // Package quota computes, from the cluster's view, the share of the budget of a worker in slow start that this dispatcher
 // may use. It is pure, and errs on the safe side: members whose views differ never use more together than the budget.
 //
+// A turn is one overload window of a worker's slow start. In each turn only some dispatchers, its holders, may send to the
+// worker (loadbalancer/slow_start.go).
+//
 // Of the members that a dispatcher counts, the holders of the turn of a worker in slow start are the first in an order
 // that depends on the worker, the turn and the names alone. A dispatcher that counts more members than another comes no
 // earlier in its own order. So as long as every dispatcher counts all that may be sending, the shares of the holders sum
--- a/internal/dispatcher/telemetry/nodegauges.go
+++ b/internal/dispatcher/telemetry/nodegauges.go
@@ -25,7 +25,7 @@
 	} else {
 		slot.reportAt = at
 		slot.inFlight = value(n.fields.inFlight)
-		slot.utilization = value(n.fields.util)
+		slot.utilization = value(n.fields.utilization)
 	}
 }
 
--- a/internal/dispatcher/telemetry/nodes.go
+++ b/internal/dispatcher/telemetry/nodes.go
@@ -9,15 +9,16 @@
 
 // nodes holds the series of listed nodes.
 type nodes struct {
-	zones, kinds  []string
+	zones         []string // names in series, by number in the settings, as are kinds
+	kinds         []string
 	allocator     *slotAllocator
 	slots         map[slotID]*nodeSlot
-	ordered       []*nodeSlot // by index of their series
-	byWorker      map[loadbalancer.WorkerID]*nodeSlot
-	fields        struct{ inFlight, util int } // index in a load report; -1: absent
-	unplaced      int                          // series of attempts at nodes without a slot
-	excess        int
-	gatheredSlots int // slots whose gauges of the open period are written
+	ordered       []*nodeSlot                         // by index of their series
+	byWorker      map[loadbalancer.WorkerID]*nodeSlot // also of departed nodes, until another node gets the slot
+	fields        struct{ inFlight, utilization int } // index in a load report; -1: absent
+	unplacedEnded int                                 // series of attempts that ended at nodes without a slot
+	unplacedNodes int                                 // series of listed nodes without a slot
+	gatheredSlots int                                 // slots whose gauges of the open period are written
 }
 
 // nodeSlot is a set of series that nodes use one after the other.
@@ -43,13 +44,13 @@
 	n.slots = map[slotID]*nodeSlot{}
 	n.byWorker = map[loadbalancer.WorkerID]*nodeSlot{}
 	n.fields.inFlight = -1
-	n.fields.util = -1
+	n.fields.utilization = -1
 	for i, f := range s.options.Settings.ReportFields {
 		switch f {
 		case loadbalancer.FieldInFlight:
 			n.fields.inFlight = i
 		case loadbalancer.FieldUtilization:
-			n.fields.util = i
+			n.fields.utilization = i
 		}
 	}
 	for _, d := range nodeDocs {
@@ -61,7 +62,7 @@
 		doc   SeriesDoc
 	}{
 		{
-			index: &n.unplaced,
+			index: &n.unplacedEnded,
 			doc: SeriesDoc{
 				Pattern: "nodes_unplaced.ended",
 				Kind:    Counter,
@@ -71,7 +72,7 @@
 			},
 		},
 		{
-			index: &n.excess,
+			index: &n.unplacedNodes,
 			doc: SeriesDoc{
 				Pattern: "nodes_unplaced.nodes",
 				Kind:    Gauge,
@@ -120,7 +121,7 @@
 			delete(locations, member.Name)
 		}
 	}
-	s.values[n.excess] = float64(max(0, -freeSlots))
+	s.values[n.unplacedNodes] = float64(max(0, -freeSlots))
 	n.allocator.assign(locations)
 	for i := range members {
 		member := &members[i]
@@ -204,7 +205,7 @@
 	}
 	slot := n.byWorker[attempt.Worker]
 	if slot == nil || slot.node != attempt.MemberName {
-		set.values[n.unplaced]++
+		set.values[n.unplacedEnded]++
 		return
 	}
 	set.values[slot.firstSeries+nodeEnded]++
--- a/internal/dispatcher/telemetry/slotallocator.go
+++ b/internal/dispatcher/telemetry/slotallocator.go
@@ -1,7 +1,6 @@
 package telemetry
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 )
@@ -56,31 +55,53 @@
 
 // assign assigns slots to the new nodes of one update, independently of the order in which a list names them.
 func (a *slotAllocator) assign(nodes map[string]location) {
-	names := slices.SortedFunc(maps.Keys(nodes), func(x, y string) int { return cmp.Compare(x, y) })
-	for _, reuse := range []bool{true, false} {
-		for _, node := range names {
-			location := nodes[node]
-			if _, in := a.assigned[node]; in {
-				continue
-			}
-			id, hadSlot := a.previous[node]
-			isTaken := id.number < len(a.nodesBySlot[location]) && a.nodesBySlot[location][id.number] != ""
-			if reuse && (!hadSlot || id.location != location || isTaken) {
-				continue
-			}
-			slot := id.number
-			if !reuse {
-				slot = slices.Index(a.nodesBySlot[location], "")
-				if slot < 0 {
-					slot = len(a.nodesBySlot[location])
-				}
-			}
-			for len(a.nodesBySlot[location]) <= slot {
-				a.nodesBySlot[location] = append(a.nodesBySlot[location], "")
-			}
-			a.nodesBySlot[location][slot] = node
-			a.assigned[node] = slotID{location, slot}
-			delete(a.previous, node)
+	names := slices.Sorted(maps.Keys(nodes))
+	for _, node := range names { // returning nodes first, so that no other gets their slots
+		if previous, free := a.freePrevious(node, nodes[node]); free {
+			a.occupy(node, previous)
 		}
 	}
+	for _, node := range names {
+		if !a.isAssigned(node) {
+			a.occupy(node, a.lowestFree(nodes[node]))
+		}
+	}
+}
+
+func (a *slotAllocator) isAssigned(node string) bool {
+	_, assigned := a.assigned[node]
+	return assigned
+}
+
+// freePrevious returns the slot that a departed node had at a location; false if it had none there, if another node has
+// the slot, or if the node has not departed.
+func (a *slotAllocator) freePrevious(node string, at location) (previous slotID, free bool) {
+	previous, hadSlot := a.previous[node]
+	if a.isAssigned(node) || !hadSlot || previous.location != at {
+		return slotID{}, false
+	}
+	slots := a.nodesBySlot[at]
+	isTaken := previous.number < len(slots) && slots[previous.number] != ""
+	return previous, !isTaken
+}
+
+// lowestFree returns the lowest free slot of a location, a new one if all are taken.
+func (a *slotAllocator) lowestFree(at location) slotID {
+	number := slices.Index(a.nodesBySlot[at], "")
+	if number < 0 {
+		number = len(a.nodesBySlot[at])
+	}
+	return slotID{at, number}
+}
+
+// occupy gives a free slot to a node. Slots below it that don't exist yet are created, and free.
+func (a *slotAllocator) occupy(node string, id slotID) {
+	slots := a.nodesBySlot[id.location]
+	for len(slots) <= id.number {
+		slots = append(slots, "")
+	}
+	slots[id.number] = node
+	a.nodesBySlot[id.location] = slots
+	a.assigned[node] = id
+	delete(a.previous, node)
 }
--- a/internal/dispatcher/telemetry/telemetry_test.go
+++ b/internal/dispatcher/telemetry/telemetry_test.go
@@ -205,7 +205,7 @@
 	})
 	s.ObserveAttempt(attemptRecord("c", 3, loadbalancer.OK))
 	s.ClosePeriod(1, 1)
-	if got := s.values[s.nodes.excess]; got != 1 {
+	if got := s.values[s.nodes.unplacedNodes]; got != 1 {
 		t.Errorf("%v nodes without series", got)
 	}
 	if got := s.total("nodes_unplaced.ended"); got != 1 || s.total("classes.score.fetches.end_ok") != 1 {
--- a/loadbalancer/selection.go
+++ b/loadbalancer/selection.go
@@ -54,7 +54,8 @@
 	return selection.Best, selection.Candidate.Rank
 }
 
-// tieBreak orders workers that report nothing: at random, in proportion to their weights in the list.
+// tieBreak orders workers that report nothing: at random, in proportion to their weights in the list. The
+// greatest of log(weight) plus Gumbel noise, -log(-log(uniform)), is each worker's with that probability.
 func (b *Balancer) tieBreak(worker *workerState) float64 {
 	uniform, weight := (float64(b.random.Next()>>11)+0.5)/(1<<53), 1.0
 	if worker.Weight > 0 && isFinite(worker.Weight) {
