--- a/cmd/cinderctl/status.go
+++ b/cmd/cinderctl/status.go
@@ -18,6 +18,12 @@
 	machineAttempts = 2
 )
 
+// What status.Member says of a member that collect has to know.
+const (
+	controlRole = "control"
+	stateLeft   = "left" // it has ended in order
+)
+
 type statusCommand struct {
 	Members bool `name:"members" help:"List all members, proxies and agents included."`
 	One     bool `name:"one" help:"Ask one control machine only, not the others that it knows."`
@@ -66,7 +72,7 @@
 		return nil, errors.Wrap(err, "address of a control machine")
 	}
 	for _, member := range first.Members {
-		if member.Role != "control" || member.Node == first.Node || member.State == "left" {
+		if member.Role != controlRole || member.Node == first.Node || member.State == stateLeft {
 			continue
 		}
 		address := net.JoinHostPort(member.Address, port) // all machines of a system use the same ports
--- a/cmd/cinderctl/statustables.go
+++ b/cmd/cinderctl/statustables.go
@@ -47,7 +47,8 @@
 	return "active, list " + milliseconds(discovery.ListAgeMS) + " old"
 }
 
-// partitionsTable has a row for each partition and control machine, ordered by partition.
+// partitionsTable has a row for each partition and control machine. The rows of a partition are together; partitions are in
+// the order of their numbers' text, so that 10 is before 2.
 func partitionsTable(report *statusReport) *table {
 	t := &table{}
 	t.add("PARTITION", "CONTROL", "ROLE", "TERM", "LEADER", "LEASE", "COMMIT", "APPLIED", "LAST", "ITEMS", "HEARD")
@@ -164,7 +165,7 @@
 
 func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// milliseconds formats a duration; long ones without fractions of a second.
+// milliseconds formats a duration of n milliseconds; long ones without fractions of a second.
 func milliseconds(n int64) string {
 	d := time.Duration(n) * time.Millisecond
 	if d >= 10*time.Second {
--- a/cmd/cinderroad-emulator/day.go
+++ b/cmd/cinderroad-emulator/day.go
@@ -70,24 +70,25 @@
 		if name == "none" {
 			continue
 		}
-		trouble, err := emulator.ParseFault(name)
+		fault, err := emulator.ParseFault(name)
 		if err != nil {
 			return o, err
 		}
-		o.Faults = append(o.Faults, trouble)
+		o.Faults = append(o.Faults, fault)
 	}
 	return o, nil
 }
 
-// faultNames returns the names of all faults.
+// faultNames returns the names of all faults, for the help text.
 func faultNames() string {
 	var names []string
-	for _, t := range emulator.Faults() {
-		names = append(names, string(t))
+	for _, fault := range emulator.Faults() {
+		names = append(names, string(fault))
 	}
 	return strings.Join(names, ", ")
 }
 
+// scenarioByName returns a scenario; the flags of the commands allow no other names.
 func scenarioByName(name string) *policysim.Scenario {
 	if name == "parcels" {
 		return policysim.Parcels()
--- a/cmd/cinderroad-emulator/policies.go
+++ b/cmd/cinderroad-emulator/policies.go
@@ -24,13 +24,15 @@
 	Jobs     int           `name:"jobs" help:"Number of concurrent runs; default: half of the processors."`
 }
 
+// The burst and the crashes that the flags add to a scenario; the flags' help texts state these values, too.
 const (
-	burstFactor = 2.5
-	burstFrom   = 10 * time.Second
-	burstFor    = 10 * time.Second
-	crashAt     = 12 * time.Second
-	crashFor    = 4500 * time.Millisecond
-	crashStride = 3 // every third runner crashes, so that they are in several zones
+	burstFactor    = 2.5
+	burstFrom      = 10 * time.Second
+	burstFor       = 10 * time.Second
+	crashAt        = 12 * time.Second
+	crashFor       = 4500 * time.Millisecond
+	crashedService = "llm" // both scenarios have it
+	crashStride    = 3     // every third runner crashes, so that they are in several zones
 )
 
 // Run implements the command.
@@ -108,7 +110,7 @@
 	}
 	for i := range p.Crash {
 		s.Crashes = append(s.Crashes, policysim.Crash{
-			Service:     "llm",
+			Service:     crashedService,
 			RunnerIndex: i * crashStride,
 			At:          crashAt,
 			Downtime:    crashFor,
--- a/internal/system/policysim/attempt.go
+++ b/internal/system/policysim/attempt.go
@@ -26,7 +26,7 @@
 		sentAt:      sim.now,
 		lastEventAt: sim.now,
 	}
-	if a.priority < 0 {
+	if a.priority < 0 { // the policy leaves it to the engine
 		a.priority = engine.DefaultPriority
 	}
 	a.placementAttempt = policy.StartAttempt(sim.now, state.request, choice)
@@ -137,7 +137,7 @@
 	sim              *simulation
 	state            *callState
 	request          *placement.Request
-	priority         int
+	priority         int // of the engine's request
 	runner           *simulatedRunner
 	placementAttempt *placement.Attempt
 	task             *engine.Task
--- a/internal/system/policysim/baselines.go
+++ b/internal/system/policysim/baselines.go
@@ -27,7 +27,7 @@
 		return &baseline{
 			options:  o,
 			pick:     pick,
-			random:   rand.New(rand.NewPCG(seed, 2)),
+			random:   rand.New(rand.NewPCG(seed, policyStream)),
 			inFlight: make(map[string]int),
 		}, nil
 	}}
@@ -36,8 +36,11 @@
 // maxLoadFactor is how many times the mean number of requests a runner may have under bounded-hash.
 const maxLoadFactor = 1.25
 
+// noPriority is the priority of a choice that leaves it to the engine.
+const noPriority = -1
+
 // picker chooses one of at least one runner.
-type picker func(s *baseline, r *placement.Request, runners []*placement.Runner) *placement.Runner
+type picker func(b *baseline, r *placement.Request, runners []*placement.Runner) *placement.Runner
 
 // baseline is a policy without concurrency limits: it sends to any serving runner of the service in the route's home
 // regions, and rejects only if there is none.
@@ -64,7 +67,7 @@
 		return placement.Choice{}, &placement.Rejection{RetryAfter: time.Second, Reason: "no runner"}
 	}
 	chosen := b.pick(b, request, allowed)
-	return placement.Choice{Runner: chosen.ID, Address: chosen.Address, Priority: -1}, nil
+	return placement.Choice{Runner: chosen.ID, Address: chosen.Address, Priority: noPriority}, nil
 }
 
 // eligibleRunners returns the runners that may serve a request. Those that it was sent to already are among them only
@@ -142,7 +145,7 @@
 
 // promptHash chooses by rendezvous hashing of the prompt; at random if it has no shared chunk.
 func (b *baseline) promptHash(request *placement.Request, runners []*placement.Runner) *placement.Runner {
-	if len(request.Chunks) < 2 {
+	if !hasSharedChunk(request) {
 		return runners[b.random.IntN(len(runners))]
 	}
 	return slices.MaxFunc(runners, byRendezvousWeight(request))
@@ -150,7 +153,7 @@
 
 // boundedHash is promptHash with bounded loads: a runner beyond maxLoadFactor times the mean is passed over.
 func (b *baseline) boundedHash(request *placement.Request, runners []*placement.Runner) *placement.Runner {
-	if len(request.Chunks) < 2 {
+	if !hasSharedChunk(request) {
 		return b.leastInFlight(request, runners)
 	}
 	total := 1
@@ -168,7 +171,11 @@
 	return b.leastInFlight(request, runners)
 }
 
-// byRendezvousWeight orders runners by rendezvous hashing of the last shared chunk of a prompt.
+// hasSharedChunk reports whether a prompt has a chunk before its last one, which is the request's own.
+func hasSharedChunk(request *placement.Request) bool { return len(request.Chunks) > 1 }
+
+// byRendezvousWeight orders runners by rendezvous hashing of the last shared chunk of a prompt, of which there must be one.
+// It never finds two runners equal: their weights are 64-bit hashes.
 func byRendezvousWeight(request *placement.Request) func(a, b *placement.Runner) int {
 	prefix := request.Chunks[len(request.Chunks)-2].ID
 	weight := func(runner *placement.Runner) uint64 {
--- a/internal/system/policysim/client.go
+++ b/internal/system/policysim/client.go
@@ -27,7 +27,7 @@
 	request          *placement.Request
 	clientAttempts   int           // that the client has made
 	attemptStart     time.Duration // of the client's latest attempt
-	rejectedEarly    bool          // the first attempt was rejected within a part of the latency target
+	rejectedEarly    bool          // the first attempt was rejected within a quarter of the latency target
 	events           int           // that the client has received
 	lastEventAt      time.Duration // of the last event, or the attempt's start
 	timeToFirstEvent time.Duration // from the call's start
@@ -130,8 +130,8 @@
 	if state.clientAttempts > state.call.Class.ClientRetries || remaining <= 0 {
 		return false
 	}
-	const waitShare = 3 // a client waits for at most this part of the remaining time
-	sim.after(min(wait, remaining/waitShare), func() { sim.startClientAttempt(state) })
+	const waitDivisor = 3 // a client waits for a third of the remaining time at most
+	sim.after(min(wait, remaining/waitDivisor), func() { sim.startClientAttempt(state) })
 	return true
 }
 
@@ -140,8 +140,8 @@
 	if state.finished {
 		return
 	}
-	const earlyFraction = 4 // a rejection within this part of the target costs less value
-	if state.clientAttempts == 1 && sim.now-state.attemptStart <= state.call.Class.LatencyTarget/earlyFraction {
+	const earlyDivisor = 4 // a rejection within a quarter of the target costs less value
+	if state.clientAttempts == 1 && sim.now-state.attemptStart <= state.call.Class.LatencyTarget/earlyDivisor {
 		state.rejectedEarly = true
 	}
 	if !sim.retry(state, wait) {
--- a/internal/system/policysim/counters.go
+++ b/internal/system/policysim/counters.go
@@ -27,14 +27,14 @@
 
 // countPrefill counts a chunk of a prompt that a runner has prefilled. The last chunk is the request's own.
 func (c *counters) countPrefill(task *engine.Task, index int) {
-	part := task.Request.Chunks[index]
+	chunk := task.Request.Chunks[index]
 	if index == len(task.Request.Chunks)-1 {
-		c.ownPrefilled += int64(part.Tokens)
+		c.ownPrefilled += int64(chunk.Tokens)
 		return
 	}
-	c.sharedPrefilled += int64(part.Tokens)
-	if c.prefilledChunks[part.ID] {
-		c.sharedPrefilledAgain += int64(part.Tokens)
+	c.sharedPrefilled += int64(chunk.Tokens)
+	if c.prefilledChunks[chunk.ID] {
+		c.sharedPrefilledAgain += int64(chunk.Tokens)
 	}
-	c.prefilledChunks[part.ID] = true
+	c.prefilledChunks[chunk.ID] = true
 }
--- a/internal/system/policysim/policy.go
+++ b/internal/system/policysim/policy.go
@@ -7,8 +7,8 @@
 	"cinderroad/internal/system/placement"
 )
 
-// Policy decides for one proxy. It has the methods of placement.Placer that a proxy uses; times are since the start of
-// the run.
+// Policy decides for one proxy. It has the methods of placement.Placer that a proxy uses, in the order and with the meaning
+// that are described there; times are since the start of the run. The simulation calls it from one goroutine.
 type Policy interface {
 	SetServices(now time.Duration, services []*configuration.Service)
 	SetRunners(now time.Duration, runners []placement.Runner)
@@ -19,7 +19,7 @@
 	HandleEvent(now time.Duration, a *placement.Attempt)
 	EndAttempt(now time.Duration, a *placement.Attempt, o placement.Outcome, p placement.Progress)
 	MayRetry(now time.Duration, r *placement.Request) bool
-	Tick(now time.Duration) time.Duration
+	Tick(now time.Duration) (next time.Duration) // next is when it wants to be called again
 }
 
 // PolicyFactory makes the policies of a run, one for each proxy.
--- a/internal/system/policysim/runner.go
+++ b/internal/system/policysim/runner.go
@@ -15,9 +15,9 @@
 	engine     engine.Server
 	slowStart  engine.SlowStart
 	attempts   map[*engine.Task]*attempt
-	up         bool
-	silent     bool // down without closing its connections
-	listed     bool
+	up         bool          // false once it has crashed; it never comes back, another incarnation replaces it
+	silent     bool          // down without closing its connections
+	listed     bool          // the proxies' list of runners has it
 	nextWakeup time.Duration // earliest event that is scheduled for it; 0: none
 }
 
@@ -33,7 +33,7 @@
 		return
 	}
 	if r.slowStart.RecordArrival(r.sim.now) {
-		r.stop(false)
+		r.stop(false) // it crashes, and closes its connections
 		a.respond(func() { a.handleEnd(placement.Interrupted) })
 		return
 	}
--- a/internal/system/policysim/scenario.go
+++ b/internal/system/policysim/scenario.go
@@ -41,10 +41,10 @@
 	Runners           map[string]int  // number of runners, by zone
 	Engine            *engine.Options // nil: the service has no engine
 	Slots             int             // requests at once of a runner without an engine
-	QueueLength       int
-	MaxConnections    int
-	SlowStartDuration time.Duration
-	SlowStartRate     float64
+	QueueLength       int             // requests that wait at a runner without an engine
+	MaxConnections    int             // to a runner
+	SlowStartDuration time.Duration   // of a runner that is started anew; 0: it needs none
+	SlowStartRate     float64         // requests a second that a runner in slow start bears
 }
 
 // Burst multiplies the rate of a class for a while.
--- a/internal/system/policysim/scenarios.go
+++ b/internal/system/policysim/scenarios.go
@@ -81,6 +81,9 @@
 	return s
 }
 
+// The sizes below are the mean, the standard deviation of the logarithm and the largest value of a distribution; those of
+// prompts are in tokens, those of responses in events, those of work in milliseconds.
+
 // engineOptions returns the properties of an engine: the least time of a step in milliseconds, the prompt tokens that it
 // prefills in a millisecond, and its memory in tokens.
 func engineOptions(stepMS, prefillPerMS float64, memory int) *engine.Options {
--- a/internal/system/policysim/simulation.go
+++ b/internal/system/policysim/simulation.go
@@ -22,7 +22,7 @@
 	drainTime              = 20 * time.Second // after the traffic, for pending calls
 )
 
-// Properties of the engines of all services.
+// Properties of the engines of all services, as the policies are told them.
 const (
 	cacheBytesPerToken = 327680
 	linkMbps           = 370000
@@ -31,7 +31,8 @@
 // seedStep is the distance between the seeds of the proxies' policies, which is greater than that between the runs.
 const seedStep = 1_000_003
 
-// simulation is a run.
+// simulation is a run. Everything in it happens in events of its queue, one after the other; the engines, the proxies'
+// policies and the clients share its clock.
 type simulation struct {
 	scenario     *Scenario
 	eventQueue   eventqueue.Queue
@@ -41,7 +42,7 @@
 	runners      []*simulatedRunner
 	incarnations int // number of runners that were started
 	proxies      []*proxy
-	proxyTurn    int
+	proxyTurn    int // index of the proxy that nextProxyIn returned last, modulo their number
 	calls        []*callState
 	counters     counters
 }
@@ -70,6 +71,7 @@
 	return sim.result(factory.Name), nil
 }
 
+// at schedules an event at a time, which must not be before now.
 func (sim *simulation) at(at time.Duration, do func()) { sim.eventQueue.Schedule(at.Seconds(), do) }
 
 func (sim *simulation) after(wait time.Duration, do func()) { sim.at(sim.now+wait, do) }
--- a/internal/system/policysim/traffic.go
+++ b/internal/system/policysim/traffic.go
@@ -13,6 +13,14 @@
 	"cinderroad/internal/system/placement"
 )
 
+// Streams of the random generator: the traffic, the baseline policies and the sizes of shared chunks draw from different
+// ones, so that equal seeds do not make them depend on each other.
+const (
+	trafficStream = 1
+	policyStream  = 2
+	chunkStream   = 3
+)
+
 // batchSpan is the time within which the requests of a batch arrive.
 const batchSpan = 50 * time.Millisecond
 
@@ -25,7 +33,7 @@
 
 // GenerateTraffic returns the calls of a scenario, in order of time. The same scenario and seed give the same calls.
 func GenerateTraffic(scenario *Scenario, seed uint64) []*Call {
-	generator := &trafficGenerator{scenario: scenario, random: rand.New(rand.NewPCG(seed, 1))}
+	generator := &trafficGenerator{scenario: scenario, random: rand.New(rand.NewPCG(seed, trafficStream))}
 	for i := range scenario.Classes {
 		for j := range scenario.Zones {
 			generator.generateZone(&scenario.Classes[i], &scenario.Zones[j])
@@ -112,7 +120,7 @@
 // sharedChunk returns a variant of a shared chunk. Its id and size are the same in every run.
 func sharedChunk(class *Class, level, variant int, size SizeDistribution) placement.Chunk {
 	id := xxhash.Sum64String(class.Name + string([]byte{byte(level), byte(variant >> 8), byte(variant)}))
-	return placement.Chunk{ID: id, Tokens: int(size.Sample(rand.New(rand.NewPCG(id, 3))))}
+	return placement.Chunk{ID: id, Tokens: int(size.Sample(rand.New(rand.NewPCG(id, chunkStream))))}
 }
 
 // sampleSkewed draws one of n variants, the i-th with a weight of (i+1) to the power of -skew.
--- a/internal/system/policysim/workload.go
+++ b/internal/system/policysim/workload.go
@@ -42,9 +42,9 @@
 	Deadline          time.Duration
 	ValueInTime       float64 // of a call that is in time
 	ValueLate         float64 // of a call that is late
-	Rank              int
-	MaxAttempts       int // runners that a proxy may send one request to
-	ClientRetries     int // that a client makes
+	Rank              int     // of the route; 0 is the most urgent
+	MaxAttempts       int     // runners that a proxy may send one request to
+	ClientRetries     int     // that a client makes
 	SharedChunks      []SharedChunk
 	Skew              float64          // how much more frequent the first variants of the last shared chunk are
 	OwnTokens         SizeDistribution // of the chunk that is the request's own
@@ -62,11 +62,12 @@
 	MeanBatchSize float64 // mean number of requests that arrive together
 }
 
-func (w RateVariation) factorAt(now time.Duration) float64 {
-	if w.Period <= 0 {
+// factorAt returns the factor of the mean rate at a time.
+func (v RateVariation) factorAt(now time.Duration) float64 {
+	if v.Period <= 0 {
 		return 1
 	}
-	return 1 + w.Amplitude*math.Sin(2*math.Pi*(now.Seconds()/w.Period.Seconds()+w.Phase))
+	return 1 + v.Amplitude*math.Sin(2*math.Pi*(now.Seconds()/v.Period.Seconds()+v.Phase))
 }
 
 // Call is one request of a client.
@@ -87,8 +88,8 @@
 	return n
 }
 
-// Cost returns the approximate work of a generation, to which its value is proportional.
+// Cost returns the approximate work of a generation, in tokens of a prompt. The value of a call grows with it (callValue).
 func (c *Call) Cost() float64 {
-	const outputWeight = 10
+	const outputWeight = 10 // of a decoded token, relative to a prefilled one
 	return float64(c.PromptTokens()) + outputWeight*float64(c.OutputTokens)
 }
--- a/internal/testkit/client/call.go
+++ b/internal/testkit/client/call.go
@@ -21,7 +21,7 @@
 const (
 	succeeded     attemptResult = iota
 	notExecuted                 // the answer says that it wasn't and won't be executed: 408, 421, 429 or 503
-	notSent                     // no connection: the dispatcher hasn't received it
+	notSent                     // no connection: no proxy has received it
 	attemptFailed               // 5xx, or an incomplete answer
 	clientError                 // 3xx or 4xx
 	timedOut                    // deadline or read timeout
--- a/internal/testkit/client/conn.go
+++ b/internal/testkit/client/conn.go
@@ -14,7 +14,7 @@
 	"cinderroad/internal/testkit/checker"
 )
 
-// conn is a connection to a dispatcher.
+// conn is a connection to a proxy.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
--- a/internal/testkit/engine/engine.go
+++ b/internal/testkit/engine/engine.go
@@ -38,8 +38,8 @@
 // PromptTokens returns the number of tokens to prefill, resumed ones included.
 func (r *Request) PromptTokens() int {
 	n := r.ResumedTokens
-	for _, part := range r.Chunks {
-		n += part.Tokens
+	for _, chunk := range r.Chunks {
+		n += chunk.Tokens
 	}
 	return n
 }
@@ -227,8 +227,8 @@
 // memoryNeed returns the memory that a request needs at its end, in tokens.
 func (e *Engine) memoryNeed(r *Request) int {
 	room := e.memory.roundUp(max(r.OutputTokens, r.ResumedTokens+1))
-	for _, part := range r.Chunks {
-		room += e.memory.roundUp(part.Tokens)
+	for _, chunk := range r.Chunks {
+		room += e.memory.roundUp(chunk.Tokens)
 	}
 	return room
 }
--- a/internal/testkit/engine/memory.go
+++ b/internal/testkit/engine/memory.go
@@ -40,6 +40,7 @@
 	return (tokens + m.blockTokens - 1) / m.blockTokens * m.blockTokens
 }
 
+// root returns the root of a model's tree. It has a user always, so that it is never evicted.
 func (m *memory) root(model string) *cacheNode {
 	root := m.models[model]
 	if root == nil {
@@ -51,15 +52,15 @@
 
 // longestPrefix walks down from a node along chunks and returns the deepest cached one and the number of chunks
 // found.
-func longestPrefix(from *cacheNode, parts []Chunk) (*cacheNode, int) {
-	for i, part := range parts {
-		child := from.children[part]
+func longestPrefix(from *cacheNode, chunks []Chunk) (*cacheNode, int) {
+	for i, chunk := range chunks {
+		child := from.children[chunk]
 		if child == nil {
 			return from, i
 		}
 		from = child
 	}
-	return from, len(parts)
+	return from, len(chunks)
 }
 
 // available returns the memory that a task using the chain of nodes could get: what is free and what can be evicted,
@@ -135,25 +136,25 @@
 
 // publish moves a prefilled chunk from the task's own memory into the tree, unless another task has published it
 // first.
-func (m *memory) publish(t *Task, part Chunk) {
+func (m *memory) publish(t *Task, chunk Chunk) {
 	parent := t.memory.cachedPrefix
-	room := m.roundUp(part.Tokens)
+	room := m.roundUp(chunk.Tokens)
 	t.memory.ownTokens -= room
 	m.pinned -= room
-	if published := parent.children[part]; published != nil {
+	if published := parent.children[chunk]; published != nil {
 		m.attach(t, published)
 		return
 	}
 	if parent.children == nil {
 		parent.children = make(map[Chunk]*cacheNode)
 	}
-	node := &cacheNode{chunk: part, tokens: room, parent: parent, users: 1}
-	parent.children[part] = node
+	node := &cacheNode{chunk: chunk, tokens: room, parent: parent, users: 1}
+	parent.children[chunk] = node
 	m.pinned += room
 	t.memory.cachedPrefix = node
 }
 
-// attach extends a task's cached prefix by one chunk.
+// attach extends a task's cached prefix by one chunk, whose ancestors the task uses already.
 func (m *memory) attach(t *Task, n *cacheNode) {
 	if n.users == 0 {
 		m.cached -= n.tokens
--- a/internal/testkit/engine/step.go
+++ b/internal/testkit/engine/step.go
@@ -110,8 +110,8 @@
 // token.
 func (e *Engine) missingMemory(t *Task) (chain *cacheNode, room int) {
 	chain, found := longestPrefix(e.memory.root(t.Request.Model), t.Request.Chunks)
-	for _, part := range t.Request.Chunks[found:] {
-		room += e.memory.roundUp(part.Tokens)
+	for _, chunk := range t.Request.Chunks[found:] {
+		room += e.memory.roundUp(chunk.Tokens)
 	}
 	return chain, room + e.memory.roundUp(t.GeneratedTokens+1)
 }
@@ -126,8 +126,8 @@
 		panic("engine: a task was placed without memory")
 	}
 	context := 0
-	for _, part := range t.Request.Chunks[:found] {
-		context += part.Tokens
+	for _, chunk := range t.Request.Chunks[:found] {
+		context += chunk.Tokens
 	}
 	if t.admissions == 0 {
 		t.CachedTokens = context
@@ -211,23 +211,23 @@
 // skipCached skips chunks that another task has prefilled since the admission.
 func (e *Engine) skipCached(t *Task) {
 	for t.progress.chunkTokensRead == 0 && t.progress.nextChunk < len(t.Request.Chunks) {
-		part := t.Request.Chunks[t.progress.nextChunk]
-		node := t.memory.cachedPrefix.children[part]
+		chunk := t.Request.Chunks[t.progress.nextChunk]
+		node := t.memory.cachedPrefix.children[chunk]
 		if node == nil {
 			return
 		}
-		e.memory.free(t, e.memory.roundUp(part.Tokens))
+		e.memory.free(t, e.memory.roundUp(chunk.Tokens))
 		e.memory.attach(t, node)
 		t.progress.nextChunk++
-		t.progress.contextTokens += part.Tokens
+		t.progress.contextTokens += chunk.Tokens
 	}
 }
 
 // unreadTokens returns the tokens still to be prefilled.
 func (t *Task) unreadTokens() int {
 	n := t.progress.tokensToReread - t.progress.chunkTokensRead
-	for _, part := range t.Request.Chunks[t.progress.nextChunk:] {
-		n += part.Tokens
+	for _, chunk := range t.Request.Chunks[t.progress.nextChunk:] {
+		n += chunk.Tokens
 	}
 	return n
 }
@@ -252,14 +252,14 @@
 	t.progress.contextTokens += left
 	e.state.PrefilledTokens += int64(left)
 	for left > 0 && t.progress.nextChunk < len(t.Request.Chunks) {
-		part := t.Request.Chunks[t.progress.nextChunk]
-		n := min(left, part.Tokens-t.progress.chunkTokensRead)
+		chunk := t.Request.Chunks[t.progress.nextChunk]
+		n := min(left, chunk.Tokens-t.progress.chunkTokensRead)
 		left -= n
 		t.progress.chunkTokensRead += n
-		if t.progress.chunkTokensRead < part.Tokens {
+		if t.progress.chunkTokensRead < chunk.Tokens {
 			return
 		}
-		e.memory.publish(t, part)
+		e.memory.publish(t, chunk)
 		e.events.add(at, ChunkPrefilled, t, t.progress.nextChunk)
 		t.progress.nextChunk++
 		t.progress.chunkTokensRead = 0
--- a/internal/testkit/eventqueue/eventqueue.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -1,5 +1,6 @@
 // Package eventqueue is the event queue of simulations in virtual time: events run in order of time, and in order of
-// scheduling where times are equal. It isn't safe for concurrent use.
+// scheduling where times are equal. The unit of time is the caller's choice, such as seconds or nanoseconds. A queue isn't
+// safe for concurrent use.
 package eventqueue
 
 import "container/heap"
@@ -32,13 +33,14 @@
 	return last
 }
 
-// Schedule adds an event at a time in seconds.
+// Schedule adds an event at a time. A time before that of the last event that was removed is the caller's error, which the
+// queue does not notice.
 func (q *Queue) Schedule(at float64, run func()) {
 	q.lastSequence++
 	heap.Push(&q.events, event{at, q.lastSequence, run})
 }
 
-// PopUntil removes the first event if it is due by a time in seconds.
+// PopUntil removes the first event if it is due by a time; ok is false if there is none.
 func (q *Queue) PopUntil(until float64) (at float64, run func(), ok bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
 		return 0, nil, false
--- a/internal/testkit/runner/runner.go
+++ b/internal/testkit/runner/runner.go
@@ -56,7 +56,7 @@
 	wake     chan struct{}
 	done     chan struct{}
 
-	mutex      sync.Mutex
+	mutex      sync.Mutex // guards what follows, and options.Engine and options.SlowStart
 	random     *rand.Rand
 	faults     Faults
 	faultCount int // requests with a fault since SetFaults
@@ -78,8 +78,8 @@
 	ConnectionsReset    int // beyond MaxConns
 	HealthChecks        int // state reports included
 	FaultsInjected      int
-	Unanswered          int // requests after Hang
-	Overloaded          bool
+	Unanswered          int  // requests after Hang
+	Overloaded          bool // it crashed because it was sent too much in slow start
 	SlowStartPeak       int
 	SlowStartViolations int
 	Engine              engine.State
