--- a/internal/dispatcher/cluster/versions/exchange.go
+++ b/internal/dispatcher/cluster/versions/exchange.go
@@ -24,21 +24,31 @@
 		msg.Clock = now
 	}
 	if t.pendingFacts > 0 {
-		msg.Facts = t.selectFacts(func(f *fact) bool { return f.transmits < maxTransmits && !f.doubted })
-		msg.Facts = msg.Facts[:fitFacts(msg.Facts, room)]
-		t.pendingFacts = 0
-		for _, f := range msg.Facts {
-			t.facts[f.Worker].transmits++
-		}
-		for _, f := range t.facts {
-			if f.transmits < maxTransmits && !f.doubted {
-				t.pendingFacts++
-			}
-		}
+		msg.Facts = t.takePendingFacts(room)
 	}
 	return t.encodePayload(msg)
 }
 
+// isPending reports whether the fact is still to be transmitted without a request.
+func (f *fact) isPending() bool { return f.transmits < maxTransmits && !f.doubted }
+
+// takePendingFacts returns the facts that are still to be transmitted, as many as fit into room bytes, and counts the
+// transmission.
+func (t *Table) takePendingFacts(room int) []Fact {
+	selected := t.selectFacts((*fact).isPending)
+	selected = selected[:fitFacts(selected, room)]
+	for _, f := range selected {
+		t.facts[f.Worker].transmits++
+	}
+	t.pendingFacts = 0
+	for _, f := range t.facts {
+		if f.isPending() {
+			t.pendingFacts++
+		}
+	}
+	return selected
+}
+
 // selectFacts returns the facts that match: those of draining and gone workers first, then those transmitted least
 // often.
 func (t *Table) selectFacts(matches func(*fact) bool) (selected []Fact) {
@@ -84,8 +94,7 @@
 		replies = append(replies, t.replyPages(now, msg.Version.Revision)...)
 	}
 	// The request goes to whoever announces more. Members send to each other at random, so the requests are spread.
-	if theirs > t.completeUpTo() && now >= t.nextRequestAt &&
-		(t.SameZone(from) || now >= t.newerSince+sameZoneGrace || t.lastConfirmed < now-t.Lease.Term) {
+	if theirs > t.completeUpTo() && t.mayRequest(now, from) {
 		t.nextRequestAt = now + requestInterval
 		t.Stats.Requests++
 		request := t.newPayload(now)
@@ -95,6 +104,16 @@
 	return replies
 }
 
+// mayRequest reports whether facts may be requested of a member now: one of another zone is asked only after sameZoneGrace,
+// or if the lease has no time left for that.
+func (t *Table) mayRequest(now float64, from string) bool {
+	if now < t.nextRequestAt {
+		return false
+	}
+	isLeaseOverdue := t.lastConfirmed < now-t.Lease.Term
+	return t.SameZone(from) || now >= t.newerSince+sameZoneGrace || isLeaseOverdue
+}
+
 // updatePeer records what a member has, by its payload.
 func (t *Table) updatePeer(now float64, from string, msg *payload) {
 	peer, known := t.peers[from]
--- a/internal/dispatcher/exporter/output.go
+++ b/internal/dispatcher/exporter/output.go
@@ -15,10 +15,10 @@
 	Kind() string
 	// Stats returns the statistics since the start.
 	Stats() OutputStats
-	start(exporter *Exporter, cursor *telemetry.Cursor)
-	wake()
-	stop() // until the next wake
-	end()  // for good
+	start(exporter *Exporter, cursor *telemetry.Cursor) // called once, before any other
+	wake()                                              // starts a delivery if there is something to deliver and none is under way
+	stop()                                              // until the next wake; what is under way is sent again then
+	end()                                               // for good
 	receiverCursor() *telemetry.Cursor
 }
 
--- a/internal/dispatcher/simwire/host.go
+++ b/internal/dispatcher/simwire/host.go
@@ -83,16 +83,12 @@
 		h.handleList(target, fields, now)
 	case eventRequest:
 		request := readRequest(fields)
-		if target.isReady() && !fields.failed {
-			target.guard(func() { target.balancer.HandleRequest(now, &request) })
-		}
+		target.deliver(fields, func() { target.balancer.HandleRequest(now, &request) })
 	case eventFirstByte:
 		request := loadbalancer.RequestID(fields.uint32())
 		attempt := int(fields.uint8())
 		fields.take(firstByteRest)
-		if target.isReady() && !fields.failed {
-			target.guard(func() { target.balancer.HandleFirstByte(now, request, attempt) })
-		}
+		target.deliver(fields, func() { target.balancer.HandleFirstByte(now, request, attempt) })
 	case eventProgress:
 		handleProgress(target, fields, now)
 	case eventOutcome:
@@ -101,14 +97,10 @@
 		h.handleProbeResult(target, fields, now)
 	case eventDisconnect:
 		request := loadbalancer.RequestID(fields.uint32())
-		if target.isReady() && !fields.failed {
-			target.guard(func() { target.balancer.HandleDisconnect(now, request) })
-		}
+		target.deliver(fields, func() { target.balancer.HandleDisconnect(now, request) })
 	case eventTimer:
 		token := fields.uint32()
-		if target.isReady() && !fields.failed {
-			target.guard(func() { target.balancer.HandleTimer(now, token) })
-		}
+		target.deliver(fields, func() { target.balancer.HandleTimer(now, token) })
 	case eventPeer: // not used
 		fields.uint16()
 		fields.take(int(fields.uint16()))
@@ -139,9 +131,7 @@
 	fields.uint32() // not used
 	update.Started = fields.uint8() == 1
 	update.Fraction = float64(fields.float32())
-	if target.isReady() && !fields.failed {
-		target.guard(func() { target.balancer.HandleProgress(now, &update) })
-	}
+	target.deliver(fields, func() { target.balancer.HandleProgress(now, &update) })
 }
 
 // handleOutcome reads and applies an outcome record.
@@ -156,9 +146,7 @@
 	outcome.ClientAnswered = fields.uint8() != 0
 	fields.uint8() // not used
 	outcome.Report = h.readReport(fields)
-	if target.isReady() && !fields.failed {
-		target.guard(func() { target.balancer.HandleOutcome(now, &outcome) })
-	}
+	target.deliver(fields, func() { target.balancer.HandleOutcome(now, &outcome) })
 }
 
 // handleProbeResult reads and applies a probe's result.
@@ -167,9 +155,7 @@
 	result := resultOf(fields.uint16())
 	fields.float64() // not used
 	report := h.readReport(fields)
-	if target.isReady() && !fields.failed {
-		target.guard(func() { target.balancer.HandleProbeResult(now, worker, result, report) })
-	}
+	target.deliver(fields, func() { target.balancer.HandleProbeResult(now, worker, result, report) })
 }
 
 // isReady reports whether the instance has been booted and has no fault.
@@ -195,6 +181,13 @@
 	})
 }
 
+// deliver has a ready instance handle an event, if all fields of its record did fit.
+func (in *instance) deliver(fields *cursor, event func()) {
+	if in.isReady() && !fields.failed {
+		in.guard(event)
+	}
+}
+
 // guard reports a panic of the decisions as a fault of the instance and retires it.
 func (in *instance) guard(event func()) {
 	defer func() {
