--- a/cmd/cinderroad-dispatcher/cluster.go
+++ b/cmd/cinderroad-dispatcher/cluster.go
@@ -22,8 +22,8 @@
 		client.versionsCommand(),
 		client.checkCommand(),
 		client.goneCommand(),
-		client.orderCommand(true),
-		client.orderCommand(false),
+		client.shutOutCommand(),
+		client.bringBackCommand(),
 		clusterAuditCommand(),
 	)
 	return c
--- a/cmd/cinderroad-dispatcher/cluster_check.go
+++ b/cmd/cinderroad-dispatcher/cluster_check.go
@@ -76,7 +76,8 @@
 		views[0].Problem = "its view is not settled"
 	}
 	for _, member := range first.Members {
-		if member.Name == first.Self || member.State != "alive" && member.State != "suspect" {
+		canAnswer := member.State == stateAlive || member.State == stateSuspect
+		if member.Name == first.Self || !canAnswer {
 			continue
 		}
 		views = append(views, client.compareView(member, first))
--- a/cmd/cinderroad-dispatcher/cluster_orders.go
+++ b/cmd/cinderroad-dispatcher/cluster_orders.go
@@ -13,7 +13,13 @@
 
 const (
 	orderPollInterval = 100 * time.Millisecond // between two looks whether an order is carried out
-	stateShutOut      = "shut-out"             // of a member, as /api/fleet shows it
+)
+
+// States of a member that the commands tell apart, as /api/fleet shows them.
+const (
+	stateAlive   = "alive"
+	stateSuspect = "suspect"
+	stateShutOut = "shut-out"
 )
 
 // goneCommand returns the command that declares a dead member departed.
@@ -33,31 +39,51 @@
 	}
 }
 
-// orderCommand returns the command that shuts a member out, or the one that ends that.
-func (client *consoleClient) orderCommand(out bool) *cobra.Command {
-	use := "shut-out NAME"
-	short := "Order a member to take no new work"
-	path := "/api/fleet/shut-out"
-	if !out {
-		use = "bring-back NAME"
-		short = "Revoke a shut-out order"
-		path = "/api/fleet/bring-back"
-	}
+// memberOrder is what differs between the commands that order a member.
+type memberOrder struct {
+	use   string
+	short string
+	path  string // of the call at the admin server
+	out   bool   // whether the member is shut out once it has carried out the order
+}
+
+// shutOutCommand returns the command that shuts a member out.
+func (client *consoleClient) shutOutCommand() *cobra.Command {
+	return client.orderCommand(memberOrder{
+		use:   "shut-out NAME",
+		short: "Order a member to take no new work",
+		path:  "/api/fleet/shut-out",
+		out:   true,
+	})
+}
+
+// bringBackCommand returns the command that ends a shut-out.
+func (client *consoleClient) bringBackCommand() *cobra.Command {
+	return client.orderCommand(memberOrder{
+		use:   "bring-back NAME",
+		short: "Revoke a shut-out order",
+		path:  "/api/fleet/bring-back",
+		out:   false,
+	})
+}
+
+// orderCommand returns the command that gives an order to a member and waits until it is carried out.
+func (client *consoleClient) orderCommand(order memberOrder) *cobra.Command {
 	patience := 30 * time.Second
 	c := &cobra.Command{
-		Use:   use,
-		Short: short,
+		Use:   order.use,
+		Short: order.short,
 		Args:  cobra.ExactArgs(1),
-		Long: short + `.
+		Long: order.short + `.
 
 The dispatcher at --console sends the order to the member through the cluster. Waits until the cluster reports the order as applied,
 at most as long as --patience says. The exit status is 1 if it is not reported in time; the order remains in force.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			body, _ := json.Marshal(map[string]string{"member": args[0]})
-			if _, err := callConsole(client.console, "PUT", path, string(body)); err != nil {
+			if _, err := callConsole(client.console, "PUT", order.path, string(body)); err != nil {
 				return err
 			}
-			state, err := client.awaitOrder(args[0], out, patience)
+			state, err := client.awaitOrder(args[0], order.out, patience)
 			if err == nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s is %s\n", args[0], state)
 			}
--- a/internal/dispatcher/admin/server.go
+++ b/internal/dispatcher/admin/server.go
@@ -24,8 +24,8 @@
 // Call is what one path does.
 type Call struct {
 	Method      string
-	TakesMember bool // the body names a member
-	Handle      func(member string, reply Reply)
+	TakesMember bool                             // the body names a member
+	Handle      func(member string, reply Reply) // runs on the event loop and must not block; member is empty without TakesMember
 }
 
 // Server serves the calls.
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -190,7 +190,8 @@
 		if best != nil && !p.isClosedBefore(best) {
 			return
 		}
-		if p.conn.Alive() || !p.sentMessage && len(p.conn.Bytes()) > 0 {
+		hasOnlyBegun := !p.sentMessage && len(p.conn.Bytes()) > 0
+		if p.conn.Alive() || hasOnlyBegun { // else unread input has come, or the peer has disconnected
 			best = p
 		}
 	})
--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// publish updates the dispatcher's member. A worker without abilities is draining.
+// publish updates the dispatcher's member. A worker without abilities is draining, not departed: it may still run jobs.
 func (w *worker) publish() {
 	w.member.State = loadbalancer.Draining
 	w.member.Skills = []uint32{noSkill}
--- a/internal/dispatcher/handover/frame.go
+++ b/internal/dispatcher/handover/frame.go
@@ -37,7 +37,7 @@
 	lastKind
 )
 
-// Errors of ParseFrame: errIncomplete asks for more bytes, errVersion is final.
+// Errors of ParseFrame: errIncomplete asks for more bytes; errVersion is final, as are those without a name.
 var (
 	errIncomplete = errors.New("handover: incomplete frame")
 	errVersion    = errors.New("handover: another version")
--- a/internal/dispatcher/httpfront/connection.go
+++ b/internal/dispatcher/httpfront/connection.go
@@ -132,13 +132,7 @@
 	c.readResponse(streamOpen)
 }
 
-// Values of readResponse's argument.
-const (
-	streamOpen  = false // the peer may send more
-	streamEnded = true  // the peer sends no more: what is there is all of the answer
-)
-
-// readResponse handles the answer if it is complete, and reports whether it was. ended is streamOpen or streamEnded.
+// readResponse handles the answer if it is complete, and reports whether it was. ended is as for ParseResponse.
 func (c *connection) readResponse(ended bool) (done bool) {
 	response, size, err := ParseResponse(c.conn.Bytes(), ended)
 	if errors.Is(err, ErrIncomplete) {
@@ -152,7 +146,7 @@
 	}
 	c.conn.Consume(size)
 	if c.idleTime > 0 {
-		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, 0)
+		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, foundAlive)
 		c.idleTime = 0
 	}
 	exchange := c.exchange
@@ -189,7 +183,7 @@
 	if c.busy && c.idleTime > 0 && len(conn.Bytes()) == 0 {
 		// An idle connection died, which is no evidence against the backend. Those that have been idle for longer
 		// are dead, too.
-		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, 1)
+		c.backend.staleness.record(c.backend.pool.loop.Now(), c.idleTime, foundDead)
 		c.backend.pool.StaleConnections++
 		c.backend.closeIdle()
 		if exchange := c.exchange; exchange != nil && exchange.attempt == nil { // safe to retry
--- a/internal/dispatcher/httpfront/discovery.go
+++ b/internal/dispatcher/httpfront/discovery.go
@@ -92,9 +92,9 @@
 func (c *DiscoveryClient) StartWithList(address netip.AddrPort, list List) {
 	c.apply(address, list, loadbalancer.ListCached)
 	if address == c.address { // at once, since an upgrade waits for it
-		c.current = c.openWatch(false)
+		c.current = c.openWatch(streamOnly)
 	} else { // versions of two addresses do not compare
-		c.pending = c.openWatch(true)
+		c.pending = c.openWatch(fullListFirst)
 	}
 }
 
@@ -112,7 +112,7 @@
 		c.pending = nil
 	}
 	if c.current == nil || c.current.address != address { // else the address is the current watch's again
-		c.pending = c.openWatch(true)
+		c.pending = c.openWatch(fullListFirst)
 	}
 }
 
--- a/internal/dispatcher/httpfront/discovery_backoff.go
+++ b/internal/dispatcher/httpfront/discovery_backoff.go
@@ -30,7 +30,10 @@
 }
 
 // maxRetryAfter bounds the Retry-After that is respected, in seconds.
-const maxRetryAfter = 60 // seconds of a Retry-After that are respected
+const maxRetryAfter = 60
+
+// maxCountedFailures bounds the doublings of a span, which has long reached its maximum by then.
+const maxCountedFailures = 16
 
 // rejectedError is the answer of an overloaded discovery.
 type rejectedError struct {
@@ -54,15 +57,16 @@
 
 // retryDelay counts a failure and returns how long to wait after it, in seconds.
 func (c *DiscoveryClient) retryDelay(err error) float64 {
-	backoff, retryAfter := lossBackoff, 0.0
-	var refused *rejectedError
-	if errors.As(err, &refused) {
+	backoff := lossBackoff
+	retryAfter := 0.0
+	var rejected *rejectedError
+	if errors.As(err, &rejected) {
 		backoff = rejectionBackoff(c.Instances)
-		retryAfter = refused.retryAfter
+		retryAfter = rejected.retryAfter
 		c.Rejections++
 	}
 	span := min(math.Ldexp(backoff.initial, c.failures), backoff.max)
-	if c.failures < 16 {
+	if c.failures < maxCountedFailures {
 		c.failures++
 	}
 	return retryAfter + span*c.rng.Float64()
--- a/internal/dispatcher/httpfront/discovery_watch.go
+++ b/internal/dispatcher/httpfront/discovery_watch.go
@@ -29,7 +29,13 @@
 	timeout      *eventloop.Timer
 }
 
-// openWatch connects to the configured address.
+// Values of openWatch's argument.
+const (
+	streamOnly    = false // continues with the changes since the revision in force, which is the same address's
+	fullListFirst = true  // requests the full list before the stream: versions of another address do not compare
+)
+
+// openWatch connects to the configured address. fullList is streamOnly or fullListFirst.
 func (c *DiscoveryClient) openWatch(fullList bool) *watch {
 	c.Watches++
 	watch := &watch{client: c, address: c.address, fetchingList: fullList}
@@ -71,9 +77,9 @@
 	client.retryTimer.Stop()
 	client.retryTimer = client.loop.At(client.loop.Now()+client.retryDelay(err), func() {
 		if w.fetchingList {
-			client.pending = client.openWatch(true)
+			client.pending = client.openWatch(fullListFirst)
 		} else {
-			client.current = client.openWatch(false)
+			client.current = client.openWatch(streamOnly)
 		}
 	})
 }
@@ -83,7 +89,7 @@
 
 // Closed implements eventloop.Handler.
 func (w *watch) Closed(c *eventloop.Conn, err error) {
-	if w.fetchingList && len(c.Bytes()) > 0 && w.readList(true) == nil {
+	if w.fetchingList && len(c.Bytes()) > 0 && w.readList(streamEnded) == nil {
 		return
 	}
 	w.fail(err)
@@ -98,7 +104,7 @@
 	}
 	read := w.readStream
 	if w.fetchingList {
-		read = func() error { return w.readList(false) }
+		read = func() error { return w.readList(streamOpen) }
 	}
 	if err := read(); err != nil {
 		w.fail(err)
@@ -114,7 +120,8 @@
 	w.conn.Write(fmt.Appendf(nil, "GET /catalog/members%s HTTP/1.1\r\nHost: %s\r\n\r\n", query, w.address))
 }
 
-// readList reads the full list of a new address and continues with the stream; ended reports that the peer has closed.
+// readList reads the full list of a new address and continues with the stream. ended is as for
+// ParseResponse.
 func (w *watch) readList(ended bool) error {
 	client := w.client
 	response, size, err := parseResponse(w.conn.Bytes(), ended, MaxList)
@@ -149,7 +156,7 @@
 	client.notifyFirstContact()
 	if response.Close || ended {
 		w.close()
-		client.current = client.openWatch(false)
+		client.current = client.openWatch(streamOnly)
 		return nil
 	}
 	w.sendRequest()
--- a/internal/dispatcher/httpfront/handover.go
+++ b/internal/dispatcher/httpfront/handover.go
@@ -36,7 +36,13 @@
 	if s.front.successor == nil || isBusy || !s.conn.Open() {
 		return false
 	}
-	if !s.front.successor(SessionState{s.hasRequested, s.hasSent, s.hasCallback, s.acceptedAt}, s.conn) {
+	state := SessionState{
+		HasRequested: s.hasRequested,
+		HasSent:      s.hasSent,
+		HasCallback:  s.hasCallback,
+		AcceptedAt:   s.acceptedAt,
+	}
+	if !s.front.successor(state, s.conn) {
 		return false
 	}
 	s.unregister()
--- a/internal/dispatcher/httpfront/http.go
+++ b/internal/dispatcher/httpfront/http.go
@@ -69,6 +69,12 @@
 	return request, n + bodySize, nil
 }
 
+// Values of the argument ended of the functions that read responses.
+const (
+	streamOpen  = false // the peer may send more
+	streamEnded = true  // the peer sends no more: what has come is all of the response
+)
+
 // ParseResponse reads one response from the start of b. ended reports that the peer will send no more, which ends a body
 // without a length.
 func ParseResponse(b []byte, ended bool) (response Response, n int, err error) {
--- a/internal/dispatcher/httpfront/list.go
+++ b/internal/dispatcher/httpfront/list.go
@@ -60,7 +60,7 @@
 	l.Full = raw.All
 	for _, text := range raw.Targets {
 		var entry Entry
-		if err := json.Unmarshal(text, &entry); err != nil {
+		if err := json.Unmarshal(text, &entry); err != nil { // a field of another type leaves the others decoded, the UID too
 			bad = append(bad, fmt.Errorf("platform: list: entry %q: %w", entry.UID, err))
 			l.droppedUIDs = append(l.droppedUIDs, entry.UID)
 			continue
--- a/internal/dispatcher/httpfront/staleness.go
+++ b/internal/dispatcher/httpfront/staleness.go
@@ -33,7 +33,13 @@
 	return s.deadShare[step] * math.Exp2((s.seenAt[step]-now)/stalenessHalfLife)
 }
 
-// record adds an observation: dead is 1 for a dead connection, 0 for a live one.
+// Values of record's argument.
+const (
+	foundAlive = 0.0
+	foundDead  = 1.0
+)
+
+// record adds an observation of a connection that had been idle for idleTime seconds; dead is foundAlive or foundDead.
 func (s *staleness) record(now, idleTime, dead float64) {
 	step := stalenessStep(idleTime)
 	share := s.share(now, step)
--- a/internal/dispatcher/server/audit_log.go
+++ b/internal/dispatcher/server/audit_log.go
@@ -56,7 +56,7 @@
 	if next == nil && s.auditLog != nil && sameLogFile(options, s.auditLogFile) {
 		return
 	}
-	s.closeAuditLog(true)
+	s.closeAuditLogInBackground()
 	s.auditLogFile = options
 	if next == nil {
 		return
@@ -79,21 +79,31 @@
 	}
 }
 
-// closeAuditLog writes the last entry and closes the log. It waits for the disk unless inBackground is set, as it must be
-// while the loop runs; nothing waits for a close in the background.
-func (s *Server) closeAuditLog(inBackground bool) {
+// closeAuditLog writes the last entry, closes the log and waits for the disk. Call it only when the loop has ended.
+func (s *Server) closeAuditLog() {
+	if closing := s.endAuditLog(); closing != nil {
+		closing.Close()
+	}
+}
+
+// closeAuditLogInBackground is closeAuditLog for while the loop runs, which must not wait for the disk. Nothing waits for
+// the close.
+func (s *Server) closeAuditLogInBackground() {
+	if closing := s.endAuditLog(); closing != nil {
+		go closing.Close()
+	}
+}
+
+// endAuditLog appends the last entry and returns the log for the caller to close; nil if none is open.
+func (s *Server) endAuditLog() *auditlog.Log {
 	if s.auditLog == nil {
-		return
+		return nil
 	}
 	s.recordAudit(auditlog.Entry{Kind: auditlog.Ended})
-	closing := s.auditLog
+	ended := s.auditLog
 	s.auditLog = nil
 	s.dispatcher.AuditMark = 0
-	if inBackground {
-		go closing.Close()
-	} else {
-		closing.Close()
-	}
+	return ended
 }
 
 // recordAudit appends an entry; decisions made from now on carry its sequence number. Without an audit log it does nothing.
--- a/internal/dispatcher/server/cluster_reload.go
+++ b/internal/dispatcher/server/cluster_reload.go
@@ -57,7 +57,7 @@
 	case options == nil && s.cluster == nil:
 	case options == nil:
 		s.leaveCluster()
-		s.closeAuditLog(true)
+		s.closeAuditLogInBackground()
 		s.stopVersionTable()
 		s.setInstanceShare(quota.Share{
 			Instances: s.config.balancerSettings.Instances,
--- a/internal/dispatcher/server/operator.go
+++ b/internal/dispatcher/server/operator.go
@@ -13,8 +13,8 @@
 		"/api/ready":            {Method: "GET", Handle: func(_ string, reply admin.Reply) { s.handleReady(reply) }},
 		"/api/fleet":            {Method: "GET", Handle: func(_ string, reply admin.Reply) { s.handleClusterStatus(reply) }},
 		"/api/fleet/gone":       {Method: "PUT", TakesMember: true, Handle: s.handleDeclareLeft},
-		"/api/fleet/shut-out":   {Method: "PUT", TakesMember: true, Handle: s.handleClusterOrder(true)},
-		"/api/fleet/bring-back": {Method: "PUT", TakesMember: true, Handle: s.handleClusterOrder(false)},
+		"/api/fleet/shut-out":   {Method: "PUT", TakesMember: true, Handle: s.handleShutOut},
+		"/api/fleet/bring-back": {Method: "PUT", TakesMember: true, Handle: s.handleBringBack},
 		"/api/exclude":          {Method: "PUT", TakesMember: true, Handle: s.handleExclude},
 		"/api/include":          {Method: "PUT", TakesMember: true, Handle: s.handleInclude},
 		"/api/evacuate":         {Method: "PUT", Handle: s.handleOrder(actionEvacuate)},
@@ -88,7 +88,8 @@
 	}
 }
 
-// executeOrder carries an order out here and in the other process, and replies once both have.
+// executeOrder carries an order out here and has the other process carry it out. It replies once that has answered, or after
+// orderTimeout; a failure of the other process is in its log only.
 func (s *Server) executeOrder(order operatorOrder, reply admin.Reply) {
 	if !s.serving { // the orders that the predecessor was given are still being applied
 		reply(503, "starting")
--- a/internal/dispatcher/server/server.go
+++ b/internal/dispatcher/server/server.go
@@ -101,7 +101,7 @@
 		}
 	}()
 	err = s.loop.Run()
-	s.closeAuditLog(false)
+	s.closeAuditLog()
 	s.reporting.close()
 	if err != nil {
 		return err
--- a/internal/dispatcher/server/upgrade_queries.go
+++ b/internal/dispatcher/server/upgrade_queries.go
@@ -68,8 +68,8 @@
 	return kind != handover.CallbackQuery || u.clientsHandedOver
 }
 
-// forwardOrder has the other processes, except the one that sent it, carry out an order. done is called once: when they
-// have, or when orderTimeout is over.
+// forwardOrder has the other processes, except the one that sent it, carry out an order. done is called once: when all have
+// answered or are lost, or when orderTimeout is over. It does not say whether they could: each logs its own failure.
 func (u *upgrade) forwardOrder(order operatorOrder, except *handover.Link, done func()) {
 	body, err := json.Marshal(order)
 	if err != nil {
