--- a/internal/system/agent/cluster_test.go
+++ b/internal/system/agent/cluster_test.go
@@ -49,7 +49,7 @@
 	return cluster
 }
 
-// address returns the address of another machine.
+// address returns the loopback address of a machine that has none so far; each call takes another one.
 func (c *testCluster) address() netip.Addr {
 	c.machines++
 	address := c.network
@@ -283,6 +283,7 @@
 	}
 }
 
+// startProxy opens the connection over which the test makes the proxy's calls; there is no proxy process.
 func (e *edgeMachine) startProxy() {
 	address := netip.AddrPortFrom(e.loopback, e.settings.Port(processconfig.AgentFeedPort))
 	e.client = rpc.NewClient(address, rpc.ClientOptions{})
@@ -301,7 +302,7 @@
 	return reply
 }
 
-// poll follows once.
+// poll makes one call of the feed, as the proxy does, and applies what has changed.
 func (e *edgeMachine) poll(wait time.Duration) *feed.FollowReply {
 	e.cluster.t.Helper()
 	request := &feed.FollowRequest{Node: e.settings.Node, Wait: wait}
@@ -320,7 +321,7 @@
 	return reply
 }
 
-// waitFor follows until a state is reached.
+// waitFor polls the feed until a state is reached.
 func (e *edgeMachine) waitFor(what string, holds func() bool) {
 	e.cluster.t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); e.poll(time.Second) {
@@ -382,7 +383,7 @@
 }
 
 // ServeHTTP serves GET /servers.
-func (p *fakePlatform) ServeHTTP(cluster http.ResponseWriter, _ *http.Request) {
+func (p *fakePlatform) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.calls++
@@ -396,6 +397,6 @@
 			r.ID, r.Service, r.Address, r.Zone, r.Capacity, state))
 	}
 	body := `{"instances":[` + strings.Join(entries, ",") + `],"next_token":null}`
-	cluster.Header().Set("Content-Length", fmt.Sprint(len(body)))
-	fmt.Fprint(cluster, body)
+	writer.Header().Set("Content-Length", fmt.Sprint(len(body)))
+	fmt.Fprint(writer, body)
 }
--- a/internal/system/consensus/simulation_faults_test.go
+++ b/internal/system/consensus/simulation_faults_test.go
@@ -87,7 +87,7 @@
 
 // cutOff cuts the links of a host, in one direction or both.
 func (sim *simulation) cutOff(host *simulatedHost, span time.Duration) {
-	ways := 1 + sim.random.IntN(3)
+	ways := 1 + sim.random.IntN(3) // bits: 1 outbound, 2 inbound
 	sim.logf("%d is cut off (%d) for %v", host.id, ways, span)
 	for _, other := range sim.hosts {
 		if ways&1 != 0 {
--- a/internal/system/proxy/fake_placer_test.go
+++ b/internal/system/proxy/fake_placer_test.go
@@ -39,15 +39,16 @@
 type fakePlacer struct {
 	runners     []placement.Runner
 	rejection   *placement.Rejection
-	noRetry     bool
+	noRetry     bool // retries are not permitted
 	spread      bool // rotates through the runners
-	priority    int
-	events      int
+	priority    int  // of each choice, plus 1; 0: the choice has none
+	events      int  // of all streams
 	lastRequest placement.Request
 	restored    []byte
 
-	outcomes chan string // nil: nobody receives
-	sent     chan string
+	// Both block the loop when they are full. nil: nobody receives.
+	outcomes chan string // "RUNNER OUTCOME" of each attempt that has ended
+	sent     chan string // the runner of each attempt that has started
 }
 
 func notify(to chan string, what string) {
@@ -94,6 +95,7 @@
 func (f *fakePlacer) HandleEvent(time.Duration, *placement.Attempt) { f.events++ }
 
 func (f *fakePlacer) EndAttempt(_ time.Duration, a *placement.Attempt, o placement.Outcome, _ placement.Progress) {
+	// In the order of the placement.Outcome constants.
 	names := []string{"served", "not run", "wrong runner", "failed", "broken", "silent", "unreached", "abandoned"}
 	notify(f.outcomes, a.Runner+" "+names[o])
 }
--- a/internal/system/proxy/harness_test.go
+++ b/internal/system/proxy/harness_test.go
@@ -16,17 +16,19 @@
 // testTimeout bounds every wait of a test; none should take that long.
 const testTimeout = 30 * time.Second
 
-// harness is a proxy on loopback with scripted runners. Tests play its clients and runners over blocking sockets.
+// harness is a proxy on loopback with scripted runners. Tests play its clients and runners over blocking sockets. The proxy,
+// the placer and the routes belong to the loop's goroutine while it runs: a test reaches them by onLoop and waitFor.
 type harness struct {
 	t         *testing.T
 	loop      *eventloop.Loop
 	proxy     *Proxy
 	placer    *fakePlacer
 	routes    *fakeRoutes
-	done      chan struct{}
+	done      chan struct{} // closed when the loop has ended
 	frontAddr string
 }
 
+// newHarness starts a proxy, which change may give other options. It is stopped when the test ends.
 func newHarness(t *testing.T, change ...func(*Options)) *harness {
 	t.Helper()
 	loop, err := eventloop.NewLoop(1000)
@@ -47,9 +49,12 @@
 		placer: &fakePlacer{outcomes: make(chan string, 100), sent: make(chan string, 100)},
 		done:   make(chan struct{}),
 	}
-	h.routes = &fakeRoutes{[]*configuration.Route{route("reads", configuration.ReadOnly), route("writes",
-		configuration.ReadWrite),
-		route("stream", configuration.Streaming), resumable}}
+	h.routes = &fakeRoutes{[]*configuration.Route{
+		route("reads", configuration.ReadOnly),
+		route("writes", configuration.ReadWrite),
+		route("stream", configuration.Streaming),
+		resumable,
+	}}
 	h.proxy = New(loop, zap.NewNop(), h.placer, options)
 	h.proxy.SetRoutes(h.routes)
 	h.proxy.SetServices([]*configuration.Service{{Name: "s", MaxConnections: 100}})
@@ -125,6 +130,7 @@
 	return dial(h.t, h.frontAddr)
 }
 
+// expectOutcomes waits for attempts to end, each as "RUNNER OUTCOME" (see fakePlacer.EndAttempt), in this order.
 func (h *harness) expectOutcomes(want ...string) {
 	h.t.Helper()
 	for _, each := range want {
--- a/internal/system/proxy/simulation_network_test.go
+++ b/internal/system/proxy/simulation_network_test.go
@@ -93,7 +93,7 @@
 	localClosed         bool             // by the process under test, as the script has seen
 	stalled             bool             // the script does not read
 	deferredEnd         func()           // runs when the script reads on; nil: the connection has not ended
-	stalledUntil        time.Duration    // the script did not read before
+	stalledUntil        time.Duration    // when setStalled was called last: the script may not have read before
 	unreadBytes         []byte
 	lastInboundArrival  time.Duration // of what was sent to the process
 	lastOutboundArrival time.Duration // of what the process sent
@@ -423,11 +423,11 @@
 	}, lose)
 }
 
-// setStalled pauses or resumes the script's reading.
-func (e *remoteEnd) setStalled(on bool) {
-	e.stalled = on
+// setStalled pauses the script's reading (true) or resumes it.
+func (e *remoteEnd) setStalled(stalled bool) {
+	e.stalled = stalled
 	e.stalledUntil = e.socket.network.now
-	if on || e.closed {
+	if stalled || e.closed {
 		return
 	}
 	held := e.unreadBytes
--- a/internal/system/replica/sim_faults_test.go
+++ b/internal/system/replica/sim_faults_test.go
@@ -119,7 +119,7 @@
 
 // isolate partitions a machine from the others, in one direction or both.
 func (sim *simulation) isolate(machine *simMachine, span time.Duration) {
-	ways := 1 + sim.random.IntN(3)
+	ways := 1 + sim.random.IntN(3) // bits: 1 outbound, 2 inbound
 	sim.logf("%d is cut off (%d) for %v", machine.index, ways, span)
 	sim.blockAll(machine, ways&2 != 0, ways&1 != 0, span)
 }
--- a/internal/system/replica/sim_link_test.go
+++ b/internal/system/replica/sim_link_test.go
@@ -35,13 +35,13 @@
 }
 
 // connection returns the connection of a kind to a machine.
-func (l *simLink) connection(to int, lane connectionKind) *simConnection {
+func (l *simLink) connection(to int, kind connectionKind) *simConnection {
 	for _, c := range l.connections {
-		if c.receiver == to && c.kind == lane {
+		if c.receiver == to && c.kind == kind {
 			return c
 		}
 	}
-	c := &simConnection{receiver: to, kind: lane}
+	c := &simConnection{receiver: to, kind: kind}
 	l.connections = append(l.connections, c)
 	return c
 }
@@ -121,20 +121,20 @@
 
 // sendOverLink models peerSet.send.
 func (p *simProcess) sendOverLink(receiver *simMachine, message *consensus.Message) {
-	under := p.bulkTransfers[receiver.index]
-	way, message := under.route(message)
+	transfer := p.bulkTransfers[receiver.index] // nil: none is going on
+	kind, message := transfer.route(message)
 	if p.sim.injected.singleConnection {
-		way = ordinaryConnection
+		kind = ordinaryConnection
 	}
 	switch {
-	case way == bulkConnection && under == nil:
-		t := &bulkTransfer{}
-		t.add(p.group.partition, message)
-		p.bulkTransfers[receiver.index] = t
-		p.runBulkTransfer(receiver, t)
-	case way == bulkConnection:
-		under.add(p.group.partition, message)
-	case way == ordinaryConnection:
+	case kind == bulkConnection && transfer == nil:
+		transfer = &bulkTransfer{}
+		transfer.add(p.group.partition, message)
+		p.bulkTransfers[receiver.index] = transfer
+		p.runBulkTransfer(receiver, transfer)
+	case kind == bulkConnection:
+		transfer.add(p.group.partition, message)
+	case kind == ordinaryConnection:
 		connection := p.link.connection(receiver.index, ordinaryConnection)
 		if connection.queuedBytes < maxPendingBytes {
 			size := len(appendMessage(nil, p.group.partition, message))
--- a/internal/system/replica/sim_oracle_test.go
+++ b/internal/system/replica/sim_oracle_test.go
@@ -40,8 +40,8 @@
 	proposed        consensus.Membership
 
 	commands map[string]simRequest
-	requests uint64
-	salt     int
+	requests uint64 // drawn so far; makes each digest unique
+	salt     int    // digests that injectedFaults.changesDigests has changed so far
 }
 
 // newOracle returns an oracle without history.
