--- a/internal/testkit/mutate/mutations.go
+++ b/internal/testkit/mutate/mutations.go
@@ -73,7 +73,8 @@
 	return next, previous
 }
 
-// swap delivers a message only behind a later one.
+// swap delivers a message only behind a later one. The tamper function keeps the message from one call to the next, so it
+// serves one run at a time.
 func swap(index, next int) Tamper {
 	var heldBack []Delivery
 	return func(i int, m Message) []Delivery {
--- a/internal/testkit/processcluster/jobs.go
+++ b/internal/testkit/processcluster/jobs.go
@@ -12,10 +12,12 @@
 )
 
 const (
-	overloadMultiple      = 3.0 // a runner in slow start that is sent more than this multiple of its present capacity
-	overloadWindowSeconds = 2.0 // within this window becomes overloaded and fails
-	slowStartShare        = 0.34
-	jobBudgetMS           = 4000
+	// A runner in slow start that accepts more work within overloadWindowSeconds than overloadMultiple times its present
+	// capacity becomes overloaded and drops every job.
+	overloadMultiple      = 3.0
+	overloadWindowSeconds = 2.0
+	slowStartShare        = 0.34 // of its capacity that a runner has at the beginning of slow start; it rises linearly
+	jobBudgetMS           = 4000 // time that a job has
 	// maxOpenJobs bounds the jobs in flight at a member. Beyond half of the sockets that it allows for one address
 	// the admission limit rejects connections, which is tested elsewhere.
 	maxOpenJobs          = 100
--- a/internal/testkit/processcluster/runner.go
+++ b/internal/testkit/processcluster/runner.go
@@ -40,19 +40,19 @@
 
 	cluster       *Cluster
 	failureDomain int
-	mutex         sync.Mutex
-	state         string // in discovery: ready, draining or gone
+	mutex         sync.Mutex // guards the state, the times, the counts and the exported fields below
+	state         string     // in discovery: stateReady, stateDraining or stateGone
 	startedAt     time.Time
 	lastJobAt     time.Time
 	slowStart     bool
 	running       int
 	waiting       int
-	slots         chan bool
+	slots         chan bool // has an element for each job that is executed
 	servers       memberServers
 	client        *http.Client
 	recentWork    []workItem // within overloadWindowSeconds
 	overloaded    bool
-	peakShare     float64            // largest share of its slow start limit that was used since its start
+	peakShare     float64            // largest share of its slow start limit that was used since its start; above 1: overloaded
 	JobCount      int                // accepted
 	WorkSeconds   float64            // accepted since its start
 	WorkByMember  map[string]float64 // accepted since its start, in seconds by member
