--- a/loadbalancer/settings.go
+++ b/loadbalancer/settings.go
@@ -81,13 +81,13 @@
 	ListRefreshInterval   float64       // ListOnRequest: without a watch the list must be refreshed this often
 	SlowStartDuration     float64       // slow start of a worker ends this long after its start
 	SlowStartInitialShare float64       // share of its capacity that a worker starts with, at least
-	OverloadMultiple      float64       // a worker in slow start fails if it is sent more than this multiple of its present
-	OverloadWindow        float64       // capacity within this window
+	OverloadMultiple      float64       // a worker in slow start fails if sent more than this multiple of its capacity
+	OverloadWindow        float64       // within this time; also the length of a turn of slow start
 	OverQuotaValue        float64       // value of a request beyond its tenant's quota, as a fraction
 }
 
 // validate returns an error for the first field that is missing or invalid. Errors name the fields
-// as the settings file does, which operators know.
+// by names close to the keys of the settings file, which operators know.
 func (s *Settings) validate() error {
 	invalid := func(field string, value any) error {
 		return fmt.Errorf("loadbalancer: settings: bad %s: %v", field, value)
