--- a/internal/dispatcher/gearman/worker.go
+++ b/internal/dispatcher/gearman/worker.go
@@ -192,7 +192,7 @@
 	values := make([]float32, len(w.peer.server.reportFields))
 	for i, field := range w.peer.server.reportFields {
 		switch field {
-		case loadbalancer.FieldInFlight, loadbalancer.FieldUtilization:
+		case loadbalancer.FieldInFlight, loadbalancer.FieldUtilization: // 0: the worker is idle
 		case loadbalancer.FieldFreeSlots:
 			values[i] = 1
 		default:
--- a/internal/dispatcher/httpfront/callback.go
+++ b/internal/dispatcher/httpfront/callback.go
@@ -58,7 +58,10 @@
 	"errors_per_s": "eps",
 }
 
-// Values returns the report in the order of the settings' fields, -1 for a field that it lacks; nil for no report.
+// notReported stands for a field that a load report lacks.
+const notReported = -1
+
+// Values returns the report in the order of the settings' fields, notReported (-1) for one that it lacks; nil for no report.
 func (r LoadReport) Values(fields []string) []float32 {
 	if len(r) == 0 {
 		return nil
@@ -70,7 +73,7 @@
 			value, ok = r[fieldAliases[name]]
 		}
 		if !ok {
-			value = -1
+			value = notReported
 		}
 		values[i] = float32(value)
 	}
--- a/internal/dispatcher/httpfront/connection.go
+++ b/internal/dispatcher/httpfront/connection.go
@@ -26,7 +26,7 @@
 	timeout     *eventloop.Timer
 }
 
-// send writes the request of an exchange.
+// send writes the request of an exchange. An attempt that may not be sent any more ends here, and the connection is idle.
 func (c *connection) send(exchange *exchange) {
 	p := c.backend.pool
 	c.exchange = exchange
@@ -42,14 +42,7 @@
 			c.release()
 			return
 		}
-		call := attempt.call
-		budgetMS := max(1, int((attempt.deadline-p.loop.Now())*1000))
-		request = fmt.Appendf(request, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n",
-			call.Method, call.Target, c.backend.address, call.ID, call.Class, budgetMS)
-		if call.IdempotencyKey != "" {
-			request = fmt.Appendf(request, "Idempotency-Key: %s\r\n", call.IdempotencyKey)
-		}
-		request = fmt.Appendf(request, "Content-Length: %d\r\n\r\n%s", len(call.Body), call.Body)
+		request = c.appendAttempt(request, attempt)
 	case exchange.probeDone != nil:
 		request = fmt.Appendf(request, "GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n", c.backend.address)
 		c.setTimeout(p.options.ProbeTimeout)
@@ -69,6 +62,18 @@
 	}
 }
 
+// appendAttempt appends the request of an attempt to b. The backend gets what is left of the client's budget.
+func (c *connection) appendAttempt(b []byte, attempt *attempt) []byte {
+	call := attempt.call
+	budgetMS := max(1, int((attempt.deadline-c.backend.pool.loop.Now())*1000))
+	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n",
+		call.Method, call.Target, c.backend.address, call.ID, call.Class, budgetMS)
+	if call.IdempotencyKey != "" {
+		b = fmt.Appendf(b, "Idempotency-Key: %s\r\n", call.IdempotencyKey)
+	}
+	return fmt.Appendf(b, "Content-Length: %d\r\n\r\n%s", len(call.Body), call.Body)
+}
+
 // setTimeout closes the connection after a number of seconds.
 func (c *connection) setTimeout(seconds float64) {
 	c.timeout.Stop()
@@ -160,7 +165,8 @@
 	switch {
 	case exchange == nil: // cancelled, or ended by a callback that came before the answer
 	case exchange.probeDone != nil:
-		result, load := loadbalancer.OK, LoadReport(nil)
+		result := loadbalancer.OK
+		load := LoadReport(nil)
 		if response.Status != 200 {
 			result = loadbalancer.Error
 		} else if load = ParseLoadReport(string(response.Body)); load == nil {
--- a/internal/dispatcher/httpfront/front.go
+++ b/internal/dispatcher/httpfront/front.go
@@ -16,6 +16,7 @@
 const (
 	budgetMargin      = 0.005   // the budget runs from the client's send, some time before the request is read here
 	idleTimeout       = 120.0   // a client session without requests is closed
+	badInputLogPeriod = 1.0     // between two log lines of one kind of bad input
 	idlePeriod        = 0.1     // without input from any client before the process may end
 	maxPipelined      = MaxHead // bytes that a client may send ahead of its turn; the system's buffers hold the rest
 	maxCallID         = 128     // bytes
@@ -133,7 +134,7 @@
 
 // mayLog reports whether a kind of event may be logged again: bad input must not flood the log.
 func (f *Front) mayLog(event string) bool {
-	if now := f.loop.Now(); now >= f.lastLogged[event]+1 {
+	if now := f.loop.Now(); now >= f.lastLogged[event]+badInputLogPeriod {
 		f.lastLogged[event] = now
 		return true
 	}
--- a/internal/dispatcher/httpfront/session.go
+++ b/internal/dispatcher/httpfront/session.go
@@ -202,7 +202,7 @@
 	s.reply(status, "", []byte(reason+"\n"))
 }
 
-// reply writes an answer and waits for the next request, or closes.
+// reply writes an answer and waits for the next request, or closes. extra is further header lines, each with its line end.
 func (s *session) reply(status int, extra string, body []byte) {
 	closeNow := s.closeAfterReply || s.front.draining && s.hasRequested || s.front.closingIdle && !s.hasCallback
 	s.conn.Write(AppendResponse(nil, status, extra, body, closeNow))
