--- a/internal/system/emulator/emulation.go
+++ b/internal/system/emulator/emulation.go
@@ -33,7 +33,7 @@
 const (
 	configurationTimeout = 40 * time.Second
 	readyTimeout         = 40 * time.Second
-	readTimeout          = 10 * time.Second
+	readTimeout          = configurationTimeout // reading back is no rule with a bound in time: a busy machine may stall for long
 	pollInterval         = 50 * time.Millisecond
 	progressInterval     = time.Second
 	progressPrecision    = 100 * time.Millisecond
