--- a/internal/dispatcher/server/cluster_audit_test.go
+++ b/internal/dispatcher/server/cluster_audit_test.go
@@ -33,21 +33,30 @@
 	return report, cmd.ProcessState.ExitCode()
 }
 
+// readLines reads the lines of a log, each a JSON object.
+func readLines(t *testing.T, path string) (lines []map[string]any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
+		fields := map[string]any{}
+		if err := json.Unmarshal([]byte(line), &fields); err != nil {
+			t.Fatalf("%s: %v: %s", path, err, line)
+		}
+		lines = append(lines, fields)
+	}
+	return lines
+}
+
 // rewrite copies files line by line; change returns false to drop a line.
 func rewrite(t *testing.T, files []string, change func(name string, line map[string]any) bool) (copies []string) {
 	t.Helper()
 	dir := t.TempDir()
 	for _, name := range files {
-		text, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
 		var out strings.Builder
-		for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
-			fields := map[string]any{}
-			if err := json.Unmarshal([]byte(line), &fields); err != nil {
-				t.Fatalf("%s: %v: %s", name, err, line)
-			}
+		for _, fields := range readLines(t, name) {
 			if change(filepath.Base(name), fields) {
 				text, _ := json.Marshal(fields)
 				out.Write(append(text, '\n'))
@@ -158,11 +167,10 @@
 				}
 			}
 		case name == "d01.requests" && entry > 0:
-			arrived := line["time"].(float64) - line["took_ms"].(float64)/1000
 			for _, attempt := range asList(line["tries"]) {
 				mark, ok := attempt["mark"].(float64)
-				sent := arrived + attempt["sent_ms"].(float64)/1000
-				if ok && mark >= entry && sent > toldAt+grace && !planted { // one attempt, also of a request that was retried
+				// One attempt is changed, also of a request that was retried.
+				if ok && mark >= entry && sentAt(line, attempt) > toldAt+grace && !planted {
 					attempt["node"] = drained
 					planted = true
 				}
@@ -202,21 +210,23 @@
 // readAttempts reads the attempts of a request log.
 func readAttempts(t *testing.T, path string) (attempts []loggedAttempt) {
 	t.Helper()
-	rewrite(t, []string{path}, func(_ string, line map[string]any) bool {
-		answered := line["time"].(float64)
-		arrived := answered - line["took_ms"].(float64)/1000
+	for _, line := range readLines(t, path) {
 		for _, attempt := range asList(line["tries"]) {
 			attempts = append(attempts, loggedAttempt{
 				node:     attempt["node"].(string),
-				sent:     unixTime(arrived + attempt["sent_ms"].(float64)/1000),
-				answered: unixTime(answered),
+				sent:     unixTime(sentAt(line, attempt)),
+				answered: unixTime(line["time"].(float64)),
 			})
 		}
-		return false
-	})
+	}
 	return attempts
 }
 
+// sentAt returns when an attempt of a line of a request log was sent, in Unix seconds.
+func sentAt(line, attempt map[string]any) float64 {
+	return line["time"].(float64) + (attempt["sent_ms"].(float64)-line["took_ms"].(float64))/1000
+}
+
 func unixTime(seconds float64) time.Time { return time.UnixMicro(int64(seconds * 1e6)) }
 
 func asList(v any) (all []map[string]any) {
